--- a/src/croftpulley/core/answering.py
+++ b/src/croftpulley/core/answering.py
@@ -1,7 +1,9 @@
-"""From which pools boxes have answers, as they tell the leading control box; pure.
+"""Pools that recently responded to boxes, as the boxes report to the control leader.
 
-A box over whose connections nothing comes back cannot tell by itself whether its links are lost or
-the endpoints are slow: that others have answers speaks for the links.
+A box that receives nothing over its connections cannot tell lost links from slow endpoints. Recent
+responses to other boxes show that the pool answers, so its own links are the likely fault.
+
+Pure: no I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -11,12 +13,13 @@
 import attrs
 
 RECENT_S = 2.0
-"""How long an answer says that its pool answers: some renewals, and few requests a second."""
+"""How long a reported response shows that its pool answers: a few renewal intervals, so that a pool
+that gets few requests a second still counts."""
 
 
 @attrs.define
 class Answering:
-    """When each box last had answers of each pool.
+    """When each box last reported a response of each pool.
 
     >>> heard = Answering()
     >>> heard.note("box-1", ["llm"], 0.0)
@@ -25,24 +28,24 @@
     """
 
     _at_s: dict[str, dict[str, float]] = attrs.field(factory=dict)
-    """By pools, then by boxes."""
+    """Report times by pool, then by box."""
 
     def note(self, box: str, pools: Iterable[str], now_s: float) -> None:
-        """Take a box's word that pools have answered since its last one."""
+        """Record a box's report that these pools have responded since its last report."""
         for pool in pools:
             of_pool = self._at_s.setdefault(pool, {})
             of_pool.pop(box, None)
-            # The newest stands last.
+            # Re-inserted so that the newest report comes last.
             of_pool[box] = now_s
 
     def by_others(self, box: str, now_s: float) -> tuple[str, ...]:
-        """Return the pools of which another box had answers lately."""
+        """Return the pools, sorted, that lately responded to a box other than ``box``."""
         return tuple(
             pool for pool, of_pool in sorted(self._at_s.items()) if _other(of_pool, box, now_s)
         )
 
     def forget(self, now_s: float) -> None:
-        """Drop what is too old to say anything."""
+        """Drop reports older than `RECENT_S`."""
         for pool, of_pool in list(self._at_s.items()):
             recent = {box: at_s for box, at_s in of_pool.items() if now_s < at_s + RECENT_S}
             if recent:
@@ -52,6 +55,9 @@
 
 
 def _other(of_pool: dict[str, float], box: str, now_s: float) -> bool:
-    """Tell whether the newest word of another box is recent; it is one of the last two."""
+    """Tell whether a box other than ``box`` reported recently.
+
+    Only the two newest reports need a look, as each box has one.
+    """
     newest = [name for name, _ in zip(reversed(of_pool), range(2), strict=False)]
     return any(name != box and now_s < of_pool[name] + RECENT_S for name in newest)
--- a/src/croftpulley/core/assembly.py
+++ b/src/croftpulley/core/assembly.py
@@ -1,6 +1,6 @@
-"""Assembly of an answer from chunks that may come late, twice, overlapping or out of order.
+"""Assembles a response text from chunks that may arrive late, twice, overlapping or out of order.
 
-Offsets count characters (Unicode code points) from the start of the answer.
+Offsets count characters (Unicode code points) from the start of the text.
 """
 
 from __future__ import annotations
@@ -8,28 +8,32 @@
 import attrs
 
 HELD_CHUNKS_LIMIT = 256
-"""Chunks kept while an earlier one is missing; more means that the stream is broken."""
+"""Most chunks buffered while an earlier one is missing; beyond it the stream counts as broken."""
 
 
 class ContradictionError(ValueError):
-    """Two chunks give different text for the same place, or the total does not fit."""
+    """Chunks that cannot belong to one text.
+
+    They give different text for the same offset, exceed the stated total length, or too many of
+    them wait for a missing one.
+    """
 
 
 @attrs.frozen
 class Chunk:
-    """Text at an offset of the answer."""
+    """A piece of the response text and its offset."""
 
     offset_chars: int
     text: str
 
     @property
     def end_chars(self) -> int:
-        """The offset after the last character."""
+        """The offset just after the last character."""
         return self.offset_chars + len(self.text)
 
 
 def merge(chunks: list[Chunk]) -> list[Chunk]:
-    """Join chunks that follow each other, so that fewer messages carry them.
+    """Join adjacent chunks, so that fewer messages carry them.
 
     >>> merge([Chunk(0, "he"), Chunk(2, "llo"), Chunk(9, "x")])
     [Chunk(offset_chars=0, text='hello'), Chunk(offset_chars=9, text='x')]
@@ -44,7 +48,7 @@
 
 
 class Assembler:
-    """Puts one answer together across all attempts.
+    """Assembles one response text across all attempts.
 
     >>> answer = Assembler()
     >>> answer.add(1, Chunk(3, "lo")), answer.add(1, Chunk(0, "hel")), answer.add(1, Chunk(0, "he"))
@@ -59,26 +63,26 @@
 
     @property
     def offset_chars(self) -> int:
-        """How much of the answer is whole."""
+        """Length of the text received so far without gaps."""
         return self._length_chars
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """The text received so far without gaps."""
         if len(self._parts) > 1:
             self._parts[:] = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
     def begin_attempt(self, number: int) -> None:
-        """Take chunks of attempt ``number`` only; what earlier ones held is dropped."""
+        """Accept only chunks of attempt ``number``; drop those buffered from earlier ones."""
         self._attempt = number
         self._held.clear()
 
     def add(self, attempt: int, chunk: Chunk) -> str:
-        """Take a chunk and return the text that is now next, which may be empty.
+        """Add a chunk; return the text that can be delivered next, which may be empty.
 
-        Raises `ContradictionError` when the chunk differs from text already taken, or when too
-        many chunks wait for a missing one.
+        Chunks of other attempts are ignored. Raises `ContradictionError` if the chunk differs from
+        text already received, or if too many chunks wait for a missing one.
         """
         if attempt != self._attempt or not chunk.text:
             return ""
@@ -90,12 +94,12 @@
         return self._append_rest(chunk) + self._release()
 
     def check_end(self, total_chars: int) -> bool:
-        """Tell whether the answer is whole at ``total_chars``.
+        """Tell whether the text is complete at ``total_chars``.
 
-        Raises `ContradictionError` when more text came than the total.
+        Raises `ContradictionError` if more text has arrived than that.
         """
         if self._length_chars > total_chars:
-            raise ContradictionError(f"got {self._length_chars} characters of {total_chars}")
+            raise ContradictionError(f"received {self._length_chars} of {total_chars} characters")
         return self._length_chars == total_chars
 
     def _append(self, text: str) -> str:
@@ -110,16 +114,18 @@
         self._held[chunk.offset_chars] = longest
 
     def _append_rest(self, chunk: Chunk) -> str:
-        """Append what of ``chunk`` is new, after comparing what is not."""
+        """Append the new part of ``chunk``, after checking that the overlap matches."""
         known = min(self._length_chars, chunk.end_chars)
         overlap = known - chunk.offset_chars
         if overlap and self.text[chunk.offset_chars : known] != chunk.text[:overlap]:
-            raise ContradictionError(f"other text came for offset {chunk.offset_chars}")
+            raise ContradictionError(
+                f"chunk at offset {chunk.offset_chars} differs from text already received"
+            )
         rest = chunk.text[overlap:]
         return self._append(rest) if rest else ""
 
     def _release(self) -> str:
-        """Append held chunks that are no longer ahead of the answer."""
+        """Append buffered chunks that now join the text; return what they added."""
         released = []
         for offset_chars in sorted(self._held):
             if offset_chars > self._length_chars:
--- a/src/croftpulley/core/attempts.py
+++ b/src/croftpulley/core/attempts.py
@@ -1,8 +1,8 @@
-"""How far an attempt at an endpoint got, and what may be said of it.
+"""How far an attempt at an endpoint progressed, and what that proves about execution.
 
-What a caller is told (`codes.RunState`) is derived from the phase alone, never from which
-exception was caught: an error says why an attempt ended, the phase says what the endpoint may
-have done.
+The state reported to a caller (`codes.RunState`) is derived from the phase alone, never from which
+exception was caught: an error says why an attempt ended, the phase says what the endpoint may have
+done.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class Phase(enum.IntEnum):
-    """How far an attempt got."""
+    """Progress of an attempt."""
 
     UNSENT = 0
-    """Not one byte of the request has left."""
+    """No byte of the request has been sent."""
     REFUSED = 1
-    """The endpoint answered that it did not run the request."""
+    """The endpoint responded that it did not run the request."""
     SENT = 2
-    """Some byte of the request may have left; no answer has begun."""
+    """Some byte of the request may have been sent; no response has begun."""
     ANSWERING = 3
-    """The answer has begun."""
+    """The response has begun."""
     DONE = 4
-    """The answer is whole."""
+    """The response is complete."""
 
 
 _NEXT: dict[Phase, tuple[Phase, ...]] = {
@@ -48,7 +48,7 @@
 
 @attrs.define
 class Attempt:
-    """One try at one endpoint.
+    """One attempt to run a request at one endpoint.
 
     >>> attempt = Attempt(number=1, endpoint="engine-1")
     >>> attempt.run_state.label
@@ -62,37 +62,37 @@
     endpoint: str
     phase: Phase = Phase.UNSENT
     status: int = 0
-    """Of the answer, once its head is there."""
+    """HTTP status, once the response head has arrived."""
     in_doubt: bool = False
-    """Whether its end leaves open if the endpoint lived on: the connection broke off, or the answer
-    says no length and ended with its connection. Noted where it is met: whoever closes the attempt
-    may do so before the failure has been handled."""
+    """Whether the attempt ended in a way that does not show if the endpoint is still alive: the
+    connection broke, or a response without a length ended with its connection. Set where the
+    condition is detected, since the attempt may be closed before the failure has been handled."""
 
     is_cut: bool = False
-    """Whether its stream ended within an event, though the connection says that it is whole."""
+    """Whether the stream ended within an event although the connection reports it as complete."""
     began_s: float | None = None
-    """When the first event of its answer came."""
+    """When the first event of the response arrived."""
     has_survived: bool = False
-    """Whether its answer has gone on for long enough since."""
+    """Whether the response has continued for long enough since then."""
 
     def enter(self, phase: Phase) -> None:
-        """Move on to ``phase``; raises `ValueError` for a step that cannot happen."""
+        """Move on to ``phase``; raises `ValueError` for an impossible transition."""
         if phase not in _NEXT[self.phase]:
             raise ValueError(f"an attempt cannot go from {self.phase.name} to {phase.name}")
         self.phase = phase
 
     def adopt(self, phase: Phase) -> None:
-        """Take over the phase that the box which carries out this attempt reports.
+        """Take over the phase reported by the box that forwards this attempt to the endpoint.
 
-        To this box the attempt is sent once the order has left; only the other box knows whether
-        the engine has seen anything of it. An answer that has begun here is never taken back.
+        For this box the attempt counts as sent once the order has left; only the other box knows
+        whether the endpoint received any of it. A response that has begun here is never reverted.
         """
         if self.phase < Phase.ANSWERING or phase > self.phase:
             self.phase = phase
 
     @property
     def run_state(self) -> codes.RunState:
-        """Whether the endpoint ran the request."""
+        """Whether the endpoint ran the request, as far as the phase proves."""
         return _RUN_STATES[self.phase]
 
 
@@ -103,18 +103,18 @@
     attempts: list[Attempt] = attrs.field(factory=list)
 
     def begin(self, endpoint: str) -> Attempt:
-        """Start the next attempt."""
+        """Add the next attempt and return it."""
         attempt = Attempt(number=len(self.attempts) + 1, endpoint=endpoint)
         self.attempts.append(attempt)
         return attempt
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Take back an attempt that was never made: it counts nowhere."""
+        """Remove an attempt that was never made, so that it counts nowhere."""
         self.attempts.remove(attempt)
 
     @property
     def failed_count(self) -> int:
-        """How many attempts were sent and did not finish."""
+        """How many attempts were sent and did not complete."""
         return sum(each.phase in (Phase.SENT, Phase.ANSWERING) for each in self.attempts)
 
     @property
--- a/src/croftpulley/core/brittle.py
+++ b/src/croftpulley/core/brittle.py
@@ -1,9 +1,10 @@
-"""Endpoints that end when they have to turn away too many requests, as they say in their answers.
+"""Endpoints that crash if they reject too many requests a second, as announced in their responses.
 
-Answers more demand than such a pool takes. Boxes hear each other's loads some time after the fact,
-so now and then one sends more than there is room for; while endpoints are brittle they send no more
-than surely finds room by all that they know, and whoever is turned away stays away for so long that
-all boxes together, each turned away as often, stay within what the endpoint bears.
+Such a *brittle* pool may be offered more load than it can take. Boxes learn of each other's load
+with a delay, so now and then one sends a request for which there is no room. While endpoints are
+brittle, boxes send only requests that certainly find room by all they know. A box that is rejected
+backs off for so long that all boxes together, each rejected equally often, stay below the announced
+number of rejections.
 """
 
 from __future__ import annotations
@@ -13,16 +14,17 @@
 import attrs
 
 BELIEVED_S = 5.0
-"""How long an endpoint's word holds of which nothing more is heard."""
+"""How long an announcement holds if it is not renewed."""
 SAFETY = 2.0
-"""How many times fewer requests it should turn away than it bears: boxes meet in one second."""
+"""Safety factor on the announced number of rejections, as several boxes may be rejected in the same
+second."""
 LEAST_AWAY_S = 1.0
-"""How long a box stays away at least: the second in which an endpoint counts."""
+"""Shortest back-off after a rejection: the second over which an endpoint counts rejections."""
 _NUMBER = re.compile(r"\d{1,7}", re.ASCII).fullmatch
 
 
 def parse(text: str) -> int | None:
-    """Read how many requests an endpoint may turn away in a second; ``None`` if that says nothing.
+    """Parse how many requests an endpoint may reject a second; ``None`` if it is no valid number.
 
     >>> parse("12"), parse("0"), parse("-1"), parse("many")
     (12, 0, None, None)
@@ -32,7 +34,9 @@
 
 
 def away_s(most_turned_away: int, boxes: int) -> float:
-    """Return how long a box that was turned away stays away from an endpoint.
+    """Return how long a box backs off from a brittle endpoint that rejected it.
+
+    ``boxes`` is how many boxes share the limit of ``most_turned_away`` rejections a second.
 
     >>> away_s(8, 3), away_s(8, 92), away_s(0, 3)
     (1.0, 23.0, 6.0)
@@ -42,6 +46,8 @@
 
 @attrs.frozen
 class _Said:
+    """An announcement and when it expires."""
+
     pool: str
     most_turned_away: int
     until_s: float
@@ -49,7 +55,7 @@
 
 @attrs.define
 class Brittle:
-    """The endpoints that said so, by their keys.
+    """The endpoints that announced a limit on rejections, by endpoint key.
 
     >>> brittle = Brittle()
     >>> brittle.hear("e", "desk", 8, 10.0), brittle.hear("e", "desk", 8, 11.0)
@@ -61,7 +67,9 @@
     _said: dict[str, _Said] = attrs.field(factory=dict)
 
     def hear(self, endpoint: str, pool: str, most: int | None, now_s: float) -> bool:
-        """Take what an answer says, ``None`` for nothing; tell whether that is news."""
+        """Record the limit announced in a response, ``None`` if it has none; tell whether it
+        changed.
+        """
         known = self._said.pop(endpoint, None)
         is_new = known is None or known.until_s <= now_s or known.most_turned_away != most
         if most is None:
@@ -70,7 +78,7 @@
         return is_new
 
     def most_turned_away(self, pool: str, now_s: float) -> int | None:
-        """Return what the most brittle of a pool's endpoints bears, ``None`` if none is brittle."""
+        """Return the lowest limit in a pool, in rejections a second; ``None`` if it has none."""
         if not self._said:
             return None
         self._said = {key: each for key, each in self._said.items() if now_s < each.until_s}
@@ -78,6 +86,6 @@
         return min(of_pool, default=None)
 
     def is_brittle(self, endpoint: str, now_s: float) -> bool:
-        """Tell whether an endpoint said so lately."""
+        """Tell whether the endpoint has announced a limit within `BELIEVED_S`."""
         said = self._said.get(endpoint)
         return said is not None and now_s < said.until_s
--- a/src/croftpulley/core/doubts.py
+++ b/src/croftpulley/core/doubts.py
@@ -1,9 +1,12 @@
-"""Which requests an endpoint had when it ended, as far as one router saw; pure.
+"""Which requests may have crashed an endpoint, as far as one router saw.
 
-A request is in doubt at an endpoint's life from when its bytes leave until an answer is whole. Two
-things show that a life ended: nobody listens at its address right after a connection broke off, and
-the list holds it no more though it was not leaving. A connection that broke off shows neither: it
-may have been cut, reset or spoilt while the endpoint lives.
+A request is a *crash candidate* at an incarnation of an endpoint from when its bytes are sent until
+its response is complete. Two events show that an incarnation ended: its address refuses connections
+right after a connection broke, or the endpoint list no longer has it although it was not shutting
+down. A broken connection alone shows neither: it may have been cut, reset or corrupted while the
+endpoint lives.
+
+Pure: no I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -17,37 +20,38 @@
 from croftpulley.core import attempts
 
 RECENT_S = 1.0
-"""A request that left an endpoint so long before nobody listened there is still in doubt. One that
-its caller gave up may have begun to run by then; endpoints end within 0.1 s of such a beginning.
-What left it longer before a success came from it is in doubt no more."""
+"""A request that ended this long before the address refused connections is still a candidate. One
+that its caller gave up may have started running by then; endpoints crash within 0.1 s of such a
+start. Requests that ended longer before a successful response are no candidates any more."""
 LISTED_S = 10.0
-"""The same before the list lacks the endpoint, which it does some seconds after the end."""
+"""The same, before the list lacks the endpoint: that takes some seconds after the crash."""
 _MOST_SURVIVED = 10_000
-"""Parts that survived lately, of each pool, about 1 MB; the oldest go first."""
+"""Most parts remembered per pool, about 1 MB; the oldest are dropped first."""
 _ENDED_KEPT_S = 60.0
-"""How long it is remembered that a life ended; it leaves the list long before."""
+"""How long a crash is remembered; the incarnation leaves the list long before that."""
 
 
 class Ending(enum.Enum):
     """How an attempt ended."""
 
     SURVIVED = "survived"
-    """A success came whole: it ran to its end."""
+    """A successful response arrived completely: the request ran to its end."""
     UNCLEAR = "unclear"
-    """It did not begin to run, or an answer came that does not show that it did."""
+    """The request did not start to run, or its response does not show that it did."""
     BROKE = "broke"
-    """The connection broke off or fell silent."""
+    """The connection broke or fell silent."""
     CLOSED = "closed"
-    """A success of no length ended with its connection: whole, if the endpoint lives on."""
+    """A successful response without a length ended with its connection: complete if the endpoint is
+    still alive."""
     GIVEN_UP = "given_up"
-    """This router ended it, for its caller or for want of time."""
+    """This router ended it, because its caller left or its time ran out."""
 
 
 @attrs.frozen
 class Named:
-    """A request by what stays the same when it comes again.
+    """A request, identified by what stays the same when it is sent again.
 
-    ``parts`` are the features that the shared parts of its prompt are (`core.fingerprints`).
+    ``parts`` are the features of the shared parts of its prompt (`core.fingerprints`).
     """
 
     fingerprint: str
@@ -58,61 +62,70 @@
 
 @attrs.frozen
 class _Open:
+    """An attempt under way."""
+
     request: Named
     attempt: attempts.Attempt
 
     @property
     def may_run(self) -> bool:
+        """Tell whether the endpoint may have started to run the request."""
         return self.attempt.run_state is not codes.RunState.NOT_RUN
 
 
 @attrs.frozen
 class _Left:
+    """An attempt that ended without proof that the endpoint survived it."""
+
     request: Named
     ending: Ending
     at_s: float
 
     def was_closed(self, before_s: float) -> bool:
+        """Tell whether it was a response without a length that ended before ``before_s``."""
         return self.ending is Ending.CLOSED and self.at_s < before_s
 
 
 @attrs.define
 class _Life:
-    """One life of an endpoint: requests under way, and those that left it in doubt."""
+    """Attempts at one incarnation: those under way, and ended ones that are still candidates."""
 
     open: dict[int, _Open] = attrs.field(factory=dict)
-    """Requests under way, by what tells attempts apart."""
+    """Attempts under way, by the ``id`` of the attempt object."""
     left: list[_Left] = attrs.field(factory=list)
     answers_at_s: float = float("-inf")
-    """When it was last seen that somebody listens at its address."""
+    """When its address last accepted a connection."""
 
     def in_doubt(self, since_s: float) -> tuple[Named, ...]:
+        """Return the requests under way and those whose attempt ended at or after ``since_s``."""
         left = [each.request for each in self.left if each.at_s >= since_s]
-        # One that waits for its connection has not begun to run there.
+        # A request that still waits for its connection has not started to run.
         under_way = [each.request for each in self.open.values() if each.may_run]
         return tuple(dict.fromkeys([*under_way, *left]))
 
     def survived(self, now_s: float) -> None:
-        """Take it that the endpoint goes on after all that left it some time ago."""
+        """Drop the attempts that ended long enough ago: the endpoint is alive after them."""
         self.left = [each for each in self.left if now_s - each.at_s < RECENT_S]
 
     def take_closed(self, before_s: float) -> tuple[Named, ...]:
-        """Return the answers of no length that ended before, which are in doubt no more."""
+        """Remove closed attempts that ended before ``before_s``; return their requests."""
         whole = [each for each in self.left if each.was_closed(before_s)]
         self.left = [each for each in self.left if not each.was_closed(before_s)]
         return tuple(each.request for each in whole)
 
     def forget(self, now_s: float) -> None:
+        """Drop ended attempts that are too old to be candidates."""
         self.left = [each for each in self.left if now_s - each.at_s < LISTED_S]
 
     @property
     def is_blank(self) -> bool:
+        """Tell whether nothing is left to remember."""
         return not (self.open or self.left)
 
 
 @attrs.define
 class Doubts:
-    """What one router has in doubt, by the lives of endpoints.
+    """The crash candidates that one router knows, by incarnation of an endpoint.
 
     >>> doubts, request, attempt = Doubts(), Named("f", "clinic"), attempts.Attempt(1, "e")
     >>> doubts.begin("e", request, attempt)
@@ -126,10 +139,10 @@
     _lives: dict[str, _Life] = attrs.field(factory=dict)
     _ended_at_s: dict[str, float] = attrs.field(factory=dict)
     _leaving: dict[str, bool] = attrs.field(factory=dict)
-    """Whether each life that was listed last is leaving."""
+    """Whether each incarnation of the last list was shutting down."""
 
     def begin(self, life: str, request: Named, attempt: attempts.Attempt) -> None:
-        """Note that a request is about to be sent."""
+        """Record that a request is about to be sent."""
         self._lives.setdefault(life, _Life()).open[id(attempt)] = _Open(request, attempt)
 
     def end(
@@ -140,12 +153,15 @@
         ending: Ending,
         now_s: float,
     ) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended.
+
+        A complete success also clears earlier candidates, and a crash that was concluded wrongly.
+        """
         known = self._lives.setdefault(life, _Life())
         under_way = known.open.pop(id(attempt), None)
         request = under_way.request if under_way else request
         if ending is Ending.SURVIVED:
-            # Whoever refused connections was not the endpoint: a link may do so too.
+            # The refused connection was no crash then: a cut link can refuse connections too.
             self._ended_at_s.pop(life, None)
             known.survived(now_s)
         in_doubt = ending in (Ending.BROKE, Ending.CLOSED, Ending.GIVEN_UP)
@@ -155,7 +171,9 @@
             del self._lives[life]
 
     def writes(self, life: str, attempt: attempts.Attempt) -> None:
-        """Note that an answer has gone on for so long that no part of its prompt ends the life."""
+        """Clear the parts of a request's prompt: its response has continued for too long for any of
+        them to crash the endpoint.
+        """
         known = self._lives.get(life)
         under_way = known.open.get(id(attempt)) if known else None
         if known is not None and under_way is not None:
@@ -163,18 +181,20 @@
             known.open[id(attempt)] = attrs.evolve(under_way, request=request)
 
     def has_ended(self, life: str) -> bool:
-        """Tell whether a life is known to have ended."""
+        """Tell whether the incarnation is known to have ended."""
         return life in self._ended_at_s
 
     def answers(self, life: str, now_s: float) -> None:
-        """Note that somebody listens at a life's address."""
+        """Record that an incarnation's address accepts connections."""
         if life in self._lives:
             self._lives[life].answers_at_s = now_s
 
     def lives_on(self, life: str, now_s: float) -> tuple[Named, ...]:
-        """Note that a life begins an answer; return what it had answered whole before.
+        """Record that a response begins; return the requests that this proves complete.
 
-        Whoever listens at its address may be another: only its own answer shows that.
+        These are earlier responses that had no length and ended with their connection. A connection
+        alone proves nothing, as another process may listen at the address: only a response of the
+        incarnation itself does.
         """
         known = self._lives.get(life)
         if known is None or not known.left:
@@ -182,7 +202,7 @@
         return known.take_closed(now_s - RECENT_S)
 
     def broke_lately(self, fingerprint: str, now_s: float) -> tuple[str, ...]:
-        """Return the lives at which a request broke off, and it is not known why."""
+        """Return the incarnations where the request broke lately and the reason is unknown."""
         return tuple(
             name
             for name, life in self._lives.items()
@@ -193,13 +213,16 @@
         )
 
     def ended(self, life: str, now_s: float) -> tuple[Named, ...]:
-        """Take it that nobody listens at a life's address; return what is in doubt there."""
+        """Conclude that an incarnation ended as its address refuses connections; return the
+        candidates.
+        """
         return self._conclude(life, now_s, RECENT_S)
 
     def keep(self, leaving: dict[str, bool], now_s: float) -> dict[str, tuple[Named, ...]]:
-        """Take the lives that are listed; return what is in doubt at those that vanished.
+        """Take the listed incarnations and whether each is shutting down; return crash candidates.
 
-        One that was leaving ended as it was meant to.
+        The result has the candidates of each incarnation that is missing from the list. One that
+        was shutting down ended as planned and has none.
         """
         found = {}
         for life, was_leaving in self._leaving.items():
@@ -212,7 +235,7 @@
         return found
 
     def forget(self, now_s: float) -> None:
-        """Drop what is too old to say anything."""
+        """Drop what is too old to matter."""
         for name, life in list(self._lives.items()):
             life.forget(now_s)
             if life.is_blank:
@@ -222,7 +245,10 @@
         }
 
     def _conclude(self, life: str, now_s: float, within_s: float) -> tuple[Named, ...]:
-        """Note a life's end; return what was in doubt there within so many seconds, once."""
+        """Record an incarnation's end; return its candidates of the last ``within_s``.
+
+        Returns nothing if the end was recorded before.
+        """
         if life in self._ended_at_s:
             return ()
         self._ended_at_s[life] = now_s
@@ -235,7 +261,7 @@
 
 
 def _is_unclear(left: _Left, life: _Life, now_s: float) -> bool:
-    """Tell whether an attempt broke off lately, and not at an endpoint that still answered then."""
+    """Tell whether an attempt broke lately, and its address has accepted no connection since."""
     broke = left.ending in (Ending.BROKE, Ending.CLOSED)
     return broke and life.answers_at_s < left.at_s > now_s - RECENT_S
 
@@ -245,7 +271,7 @@
 
 @attrs.define
 class Survivals:
-    """When parts of prompts last survived the beginning of an answer, by the pools of endpoints.
+    """When each prompt part last got through the start of a response, by pool.
 
     >>> survivals = Survivals()
     >>> survivals.note("llm", ("part-a", "part-b"), 5.0)
@@ -256,17 +282,17 @@
     _at_s: dict[str, dict[str, float]] = attrs.field(factory=dict)
 
     def note(self, pool: str, parts: Iterable[str], now_s: float) -> None:
-        """Note that parts survived at an endpoint of a pool."""
+        """Record that an endpoint of the pool survived these parts."""
         of_pool = self._at_s.setdefault(pool, {})
         for each in parts:
-            # The last one to survive comes last.
+            # Re-inserted so that the latest comes last.
             of_pool.pop(each, None)
             of_pool[each] = now_s
         while len(of_pool) > _MOST_SURVIVED:
             del of_pool[next(iter(of_pool))]
 
     def since(self, part: str, pools: Iterable[str], since_s: float) -> bool:
-        """Tell whether a part survived in any of these pools from a moment on."""
+        """Tell whether any of these pools survived the part at or after ``since_s``."""
         return any(
             self._at_s.get(pool, _NOTHING).get(part, float("-inf")) >= since_s for pool in pools
         )
--- a/src/croftpulley/core/event_cut.py
+++ b/src/croftpulley/core/event_cut.py
@@ -1,4 +1,4 @@
-"""Cuts an event stream at the ends of its events, so that only whole ones are passed on."""
+"""Splits an event stream at event boundaries, so that only complete events are forwarded."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EventCutter:
-    """Gathers bytes and gives out whole events.
+    """Buffers bytes and returns complete events.
 
     >>> cutter = EventCutter()
     >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), cutter.last_id
@@ -23,7 +23,7 @@
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Add bytes; return the whole events that are complete now."""
+        """Add bytes; return the events that are complete now."""
         self._rest += data
         ends = [match.end() for match in _EVENT_END.finditer(self._rest)]
         if not ends:
@@ -36,9 +36,9 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Tell whether the stream may end here."""
+        """Tell whether the stream may end here: no partial event is buffered."""
         return not self._rest.strip()
 
     def drop_partial(self) -> None:
-        """Forget half an event, before the stream goes on from another source."""
+        """Drop a partial event, before the stream continues from another source."""
         self._rest = b""
--- a/src/croftpulley/core/fingerprints.py
+++ b/src/croftpulley/core/fingerprints.py
@@ -1,12 +1,13 @@
-"""What names a request that comes again: it has another id, another box, often another connection.
+"""Identifies a request that is sent again with another id, by another box or over another
+connection.
 
-The caller's workspace, the method, the host, the path with its query and the body are the same
-each time. Headers are not looked at: they may differ from one try to the next (the remaining time,
-the event after which a stream goes on).
+The caller's workspace, the method, the host, the path with its query and the body are the same each
+time. Headers are ignored: they may differ between attempts (the remaining time, the event after
+which a stream resumes).
 
-Requests under which endpoints end may have less in common: a *feature* is a whole request, named by
-its fingerprint, or one part of its prompt but the last, which is its own; requests of any caller
-may share a part.
+Requests that crash endpoints may have less in common. A *feature* is either a whole request,
+identified by its fingerprint, or one part of its prompt. The last part is never a feature, as it
+belongs to that request alone; requests of any caller may share the others.
 """
 
 from __future__ import annotations
@@ -15,21 +16,23 @@
 import hashlib
 
 _DIGEST_BYTES = 16
-"""128 bits: nobody finds two requests of one fingerprint by trying, and it stays short in messages,
-of which a leading control box may hold thousands."""
+"""128 bits: infeasible to find two requests with one fingerprint by trial, and still short in
+messages, of which a control leader may hold thousands."""
 _LENGTH_BYTES = 8
 _PART_PREFIX = "part-"
 _LONGEST_NAME = 64
-"""Of a part, as callers name it; what is longer is named by its digest."""
+"""Longest part name, as chosen by callers, that is used as it is; a longer one is replaced by its
+digest."""
 _MOST_NAMES = 8192
-"""Kept, so that parts that come again and again are named by one look-up."""
+"""Cache size, so that recurring parts are named by one look-up."""
 
 
 def fingerprint(workspace: str, method: str, host: str, target: str, body: bytes) -> str:
     """Return the fingerprint of a request, in hexadecimal digits.
 
-    Each part goes in with its length, the workspace first: no request of one workspace can be made
-    to look like one of another. Requests without a key share the workspace of the empty name.
+    Each component is hashed with its length, the workspace first, so no request can be crafted to
+    match one of another workspace. Requests without an API key share the workspace with the empty
+    name.
 
     >>> fingerprint("clinic", "POST", "a.example", "/x", b"") == fingerprint(
     ...     "clinic", "POST", "A.example:80", "/x", b"")
@@ -46,15 +49,16 @@
 
 
 def _add(digest: hashlib.blake2b, part: bytes) -> None:
+    """Hash a component with its length."""
     digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
     digest.update(part)
 
 
 @functools.lru_cache(maxsize=_MOST_NAMES)
 def of_part(part: str) -> str:
-    """Return the name of the feature that a part of a prompt is.
+    """Return the feature name of a prompt part.
 
-    Parts are named in hexadecimal digits, in upper or lower case.
+    Part names are usually hexadecimal digits, in upper or lower case.
 
     >>> of_part("91BD3f06"), of_part("a/b") == of_part("a/c"), is_part(of_part("91"))
     ('part-91bd3f06', False, True)
@@ -66,5 +70,5 @@
 
 
 def is_part(feature: str) -> bool:
-    """Tell whether a feature is a part of a prompt."""
+    """Tell whether a feature is a prompt part, not a whole request."""
     return feature.startswith(_PART_PREFIX)
--- a/src/croftpulley/core/outcomes.py
+++ b/src/croftpulley/core/outcomes.py
@@ -1,9 +1,9 @@
-"""Which endpoints fail more than their peers, by what all routers met there.
+"""Outlier detection: holds off endpoints that fail more than their peers, fleet-wide.
 
-One router sees too few requests to tell an endpoint that fails some of them, while its health check
-is good, from bad luck. So each reports how its requests ended, and the leading control box judges
-for all: an endpoint that fails clearly more often than the others of its pool is held off for a
-while, and gets the chance of a few requests when that has passed.
+One router sees too few requests to tell bad luck from an endpoint that fails part of them while its
+health check passes. So each router reports its outcomes, and the control leader decides for all: an
+endpoint that fails clearly more often than the others of its pool is held off for a while (no
+router sends to it), and gets a few requests as a probe afterwards.
 """
 
 from __future__ import annotations
@@ -13,25 +13,27 @@
 import attrs
 
 HALF_LIFE_S = 2.0
-"""How fast a request loses its weight: a judgement rests on the last few seconds."""
+"""Half-life of a request's weight: a decision rests on the last few seconds."""
 LEAST_FAILURES = 2.5
-"""Weight of failures below which nothing is concluded: three in a row within a second or so."""
+"""Weight of failures below which no endpoint is held off: three failures within a second or so."""
 LEAST_EXCESS = 0.2
-"""How much more than twice its peers' share of failures an endpoint must have. The users' services
-fail up to 0.05 of all their requests on a quiet day, and a failing endpoint 0.4 of them."""
+"""How far an endpoint's failure rate must exceed twice that of its peers. The users' services fail
+up to 0.05 of all their requests on a quiet day, and a failing endpoint 0.4 of them."""
 FIRST_HOLD_S = 3.0
+"""Length of the first hold; it doubles each time the endpoint fails again soon."""
 LONGEST_HOLD_S = 12.0
-"""How long an endpoint is held off, twice as long each time that it fails again at once. By the
-users' pages such trouble lasts five seconds or so."""
+"""Longest hold. According to the users' documents, such failures last five seconds or so."""
 FORGET_S = 20.0
-"""An endpoint that did well for so long after a hold begins anew."""
+"""After this long without a new hold, the next one is as short as the first."""
 
 Counts = Mapping[str, tuple[int, int]]
-"""Requests that ended well and that failed, by endpoint, since the last report."""
+"""Succeeded and failed requests by endpoint, since the last report."""
 
 
 @attrs.define
 class _Record:
+    """Decayed outcome counts of one endpoint, and its current or last hold."""
+
     ended_well: float = 0.0
     failed: float = 0.0
     at_s: float = 0.0
@@ -39,6 +41,7 @@
     hold_s: float = FIRST_HOLD_S / 2
 
     def decay(self, now_s: float) -> None:
+        """Reduce the weight of earlier outcomes to that at ``now_s``."""
         part = 0.5 ** ((now_s - self.at_s) / HALF_LIFE_S)
         self.ended_well *= part
         self.failed *= part
@@ -51,7 +54,7 @@
 
 @attrs.frozen
 class Judgement:
-    """An endpoint that is held off from now on, with what decided it."""
+    """A hold that starts now, with the figures behind it."""
 
     endpoint: str
     failed: float
@@ -62,7 +65,7 @@
 
 @attrs.define
 class Outcomes:
-    """The records of all endpoints at the leading control box.
+    """Outcomes and holds of all endpoints, at the control leader.
 
     >>> outcomes = Outcomes()
     >>> outcomes.add({"a": (1, 4), "b": (9, 0), "c": (9, 1)}, 10.0)
@@ -75,7 +78,7 @@
     _records: dict[str, _Record] = attrs.field(factory=dict)
 
     def add(self, counts: Counts, now_s: float) -> None:
-        """Take a router's report; what ends at an endpoint while it is held off counts too."""
+        """Add a router's report; outcomes at an endpoint that is held off count too."""
         for endpoint, (ended_well, failed) in counts.items():
             record = self._records.setdefault(endpoint, _Record(at_s=now_s))
             record.decay(now_s)
@@ -83,7 +86,10 @@
             record.failed += failed
 
     def judge(self, pools: Iterable[tuple[str, ...]], now_s: float) -> list[Judgement]:
-        """Hold off whoever fails more than its peers; never more than half of a pool."""
+        """Hold off endpoints that fail more than their peers; return the new holds.
+
+        Never more than half of a pool is held off at once.
+        """
         made = []
         for pool in pools:
             records = {name: self._records[name] for name in pool if name in self._records}
@@ -102,19 +108,19 @@
         return made
 
     def held(self, now_s: float) -> tuple[str, ...]:
-        """Return the endpoints that are held off."""
+        """Return the endpoints that are held off now, sorted."""
         return tuple(
             name for name, record in sorted(self._records.items()) if record.held_until_s > now_s
         )
 
     def keep(self, endpoints: set[str]) -> None:
-        """Forget all other endpoints."""
+        """Drop all endpoints but these."""
         for name in set(self._records) - endpoints:
             del self._records[name]
 
 
 def _share_of_others(name: str, pool: Mapping[str, _Record]) -> float:
-    """Return the share of failures at all of a pool but one."""
+    """Return the failure rate of a pool without one of its endpoints."""
     others = [each for other, each in pool.items() if other != name]
     total = sum(each.total for each in others)
     return sum(each.failed for each in others) / total if total > 0 else 0.0
@@ -128,9 +134,10 @@
 
 
 def _hold(record: _Record, now_s: float) -> None:
+    """Start a hold, twice as long as the last one if that was recent."""
     if now_s - record.held_until_s > FORGET_S:
         record.hold_s = FIRST_HOLD_S / 2
     record.hold_s = min(LONGEST_HOLD_S, 2 * record.hold_s)
     record.held_until_s = now_s + record.hold_s
-    # After the hold it is judged by new requests alone.
+    # Only new requests count after the hold.
     record.ended_well = record.failed = 0.0
--- a/src/croftpulley/core/records.py
+++ b/src/croftpulley/core/records.py
@@ -1,9 +1,9 @@
-"""What a router remembers of each endpoint from its own requests, by the endpoint's life.
+"""What a router knows of each endpoint from its own requests, by incarnation.
 
-This is the one place for it: when a life ends, all that is remembered of it goes at once, and what
-is still heard of it (an answer to a request sent before, a note on its way) changes nothing. Only
-what an endpoint said of itself is kept while the list lacks it: a list may lack an endpoint that
-goes on, and show it again as if it had said nothing.
+All of it is kept here, so that it goes at once when an incarnation leaves the list; messages that
+arrive later (a response to an earlier request, a note on its way) change nothing. Only what an
+endpoint announced of itself (`withdrawal`) outlives the list entry: a list may miss an endpoint
+that still runs, and show it again as if it had announced nothing.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 @attrs.define
 class Record:
-    """One life: requests in flight, prompt tokens still to be read, how requests ended, and what
-    the endpoint said of itself.
+    """State of one incarnation: requests in flight, prompt tokens not processed yet, outcomes, and
+    what the endpoint announced of itself.
     """
 
     in_flight: int = 0
@@ -32,29 +32,29 @@
     told_at_s: float = float("-inf")
 
     def told_present(self, now_s: float) -> int:
-        """Return how many requests the endpoint told that it has, 0 once that says nothing more."""
+        """Return the endpoint's reported number of requests, 0 without a fresh report."""
         if self.told is None or now_s >= self.told_at_s + told_load.FRESH_S:
             return 0
         return self.told.present
 
     @property
     def is_blank(self) -> bool:
-        """Tell whether it says no more than a new one would."""
+        """Tell whether the record equals a new one."""
         counted = self.in_flight or self.reading_tokens or self.ended_well or self.ended_badly
         spoken = not (self.withdrawal.is_blank and self.window.is_blank)
         return not counted and self.trust.is_blank and not spoken and self.told is None
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the endpoint should get no more than it has of this box."""
+        """Tell whether the congestion window admits no further request of this box."""
         return not self.window.admits(self.in_flight)
 
 
 @attrs.define
 class Records:
-    """All records of a router, and where the parts of prompts lie.
+    """All endpoint records of a router, and where prompt parts are cached.
 
-    Before the first list (`keep`) every key is taken for a life; after it only those listed are.
+    Every key is accepted until the first list (`keep`), afterwards only listed ones.
 
     >>> records = Records()
     >>> records.change("w@1", lambda record: record.trust.failed(0.0))
@@ -70,7 +70,10 @@
     _listed: frozenset[str] | None = None
 
     def keep(self, listed: Iterable[str], now_s: float) -> None:
-        """Take the keys of all lives that are listed; forget what the others did."""
+        """Take the keys of all listed incarnations; drop the state of all others.
+
+        The withdrawal of an unlisted one is kept for as long as it applies.
+        """
         keys = frozenset(listed)
         ended = (self._listed or frozenset()) - keys
         if self._listed is not None and not ended:
@@ -86,15 +89,17 @@
         self._new_notes = [note for note in self._new_notes if note.engine in keys]
 
     def is_life(self, key: str) -> bool:
-        """Tell whether a key may name a life that goes on."""
+        """Tell whether a key is listed, or no list has arrived yet."""
         return self._listed is None or key in self._listed
 
     def get(self, key: str) -> Record | None:
-        """Return the record of a life, ``None`` where there is nothing to say of it."""
+        """Return the record of an incarnation, ``None`` if there is none."""
         return self._records.get(key)
 
     def change(self, key: str, change: Callable[[Record], None]) -> None:
-        """Change the record of a life that goes on; one that becomes blank is dropped."""
+        """Apply ``change`` to the record of a listed incarnation; drop it if it is blank
+        afterwards.
+        """
         if not self.is_life(key):
             return
         record = self._records.setdefault(key, Record())
@@ -103,16 +108,16 @@
             del self._records[key]
 
     def in_flight(self) -> dict[str, int]:
-        """Return what is not 0 of requests in flight."""
+        """Return the requests in flight by key, zeros left out."""
         return {key: each.in_flight for key, each in self._records.items() if each.in_flight}
 
     def reading_tokens(self) -> dict[str, int]:
-        """Return what is not 0 of prompt tokens still to be read."""
+        """Return the prompt tokens not processed yet by key, zeros left out."""
         told = self._records.items()
         return {key: each.reading_tokens for key, each in told if each.reading_tokens}
 
     def take_outcomes(self) -> outcomes.Counts:
-        """Return how requests ended since the last call, well and badly."""
+        """Return the succeeded and failed requests since the last call, and reset them."""
         taken: dict[str, tuple[int, int]] = {}
         for key, record in list(self._records.items()):
             if not (record.ended_well or record.ended_badly):
@@ -124,27 +129,27 @@
         return taken
 
     def hear(self, key: str, notice: withdrawal.Notice, now_s: float) -> withdrawal.Heard:
-        """Take what an endpoint says of itself, listed or not; return what of it is news."""
+        """Apply a notice of an endpoint, listed or not; return what in it is new."""
         record = self._records.setdefault(key, Record())
         if notice.rest_s and not record.withdrawal.binds(now_s):
             record.window.turned_away(record.in_flight, now_s)
         return record.withdrawal.hear(notice, now_s)
 
     def hear_load(self, key: str, told: told_load.ToldLoad, now_s: float) -> None:
-        """Take what an endpoint tells of its load."""
+        """Store the load that a listed endpoint reports."""
         if self.is_life(key):
             record = self._records.setdefault(key, Record())
             record.told = told
             record.told_at_s = now_s
 
     def sent(self, key: str, now_s: float) -> None:
-        """Note that a request has left for an endpoint."""
+        """Count a request that was sent although the endpoint had asked for none."""
         record = self._records.get(key)
         if record is not None and record.withdrawal.binds(now_s):
             record.withdrawal.sent_since += 1
 
     def end_rests(self, now_s: float) -> list[withdrawal.Ended]:
-        """Forget the rests that are over and return them, and old bounds."""
+        """Remove expired rests, windows, load reports and records; return the rests."""
         over = []
         for key, record in list(self._records.items()):
             record.window.forget(now_s)
@@ -159,7 +164,7 @@
         return over
 
     def withdrawn(self, now_s: float) -> dict[str, withdrawal.Withdrawal]:
-        """Return copies of what those said that want no requests now."""
+        """Return copies of the withdrawals in effect, by key."""
         return {
             key: attrs.evolve(each.withdrawal)
             for key, each in self._records.items()
@@ -167,42 +172,42 @@
         }
 
     def resting_s(self, now_s: float) -> dict[str, float]:
-        """Return for how long endpoints want no requests that asked for rest."""
+        """Return the remaining seconds of each rest, by key."""
         left = {key: each.withdrawal.rest_until_s - now_s for key, each in self._records.items()}
         return {key: round(left_s, 1) for key, left_s in left.items() if left_s > 0}
 
     def said_leaving(self) -> set[str]:
-        """Return the lives that said that they leave."""
+        """Return the keys of endpoints that announced their shutdown."""
         return {key for key, each in self._records.items() if each.withdrawal.leaves}
 
     def note(self, note: places.Note, now_s: float) -> bool:
-        """Take a note on where a part lies; return whether others should have it too."""
+        """Store where a prompt part is cached; return whether other boxes should learn of it."""
         return self.is_life(note.engine) and self._places.note(note, now_s)
 
     def note_own(self, note: places.Note, now_s: float) -> None:
-        """Take a note of one's own, which others get if it is news."""
+        """Store a note of this box, and queue it for the other boxes if it is new."""
         if self.note(note, now_s):
             self._new_notes.append(note)
 
     def take_notes(self) -> places.Notes:
-        """Return the notes of one's own since the last call."""
+        """Return and clear the queued notes."""
         taken, self._new_notes = self._new_notes, []
         return places.by_engine(taken)
 
     def give_back_notes(self, notes: places.Notes) -> None:
-        """Take back notes that reached nobody, but for those of lives that have ended."""
+        """Queue undelivered notes again, without those of unlisted incarnations."""
         returned = [note for note in places.each_note(notes) if self.is_life(note.engine)]
         self._new_notes = [*returned, *self._new_notes]
 
     def holders(self, part: str, now_s: float) -> list[str]:
-        """Return the engines that likely hold a part."""
+        """Return the engines that probably have a prompt part cached."""
         return self._places.holders(part, now_s)
 
     def present(self) -> Set[str]:
-        """Return the keys of the lives that have a record."""
+        """Return the keys that have a record."""
         return self._records.keys()
 
     def keys(self) -> set[str]:
-        """Return every key of which anything is remembered."""
+        """Return every key that has a record, a place or a queued note."""
         noted = self._places.engines() | {note.engine for note in self._new_notes}
         return noted | set(self._records)
--- a/src/croftpulley/core/returns.py
+++ b/src/croftpulley/core/returns.py
@@ -1,22 +1,23 @@
-"""When callers that are refused for now should come back."""
+"""When rejected callers should retry."""
 
 from __future__ import annotations
 
 import xxhash
 
 ELSEWHERE_S = 0.1
-"""Where an endpoint takes requests now, only not one more of this box, or not this one again."""
+"""Shortest wait: an endpoint has room now, only not for another request of this box, or not for
+this request again."""
 SPREAD = 0.2
-"""Callers return within a part more of the wait, not all at its end."""
+"""Jitter: callers retry within this share of the wait after its end, not all at once."""
 HONOURED = 1 / 3
-"""Of its time that a caller waits at most before it asks again, as the users' callers do. One that
-comes back later has too little left to be served."""
+"""Largest share of its remaining time that a caller waits before a retry, as the users' callers do.
+One that retries later has too little time left to be served."""
 _RANKS = 10
 _CHANCES = 1 << 64
 
 
 def chance(name: str) -> float:
-    """Return a number from 0 to 1 that is always the same for a name, and other for others.
+    """Return a number from 0 to 1 derived from a hash of the name: always the same for one name.
 
     >>> 0 <= chance("a") < 1, chance("a") == chance("a"), chance("a") == chance("b")
     (True, True, False)
@@ -25,9 +26,9 @@
 
 
 def place(urgency: int, chance: float) -> float:
-    """Return the place of a caller among those that return, from 0 to 1: the most urgent first.
+    """Return the position of a caller among those that wait, from 0 to 1, the most urgent first.
 
-    ``urgency`` is from 0, the first, to 9; ``chance`` from 0 to 1.
+    ``urgency`` is from 0, the most urgent, to 9; ``chance``, from 0 to 1, orders equal ones.
 
     >>> place(0, 0.5), place(9, 0.5)
     (0.05, 0.95)
@@ -36,11 +37,12 @@
 
 
 def wait_s(opens_in_s: float, left_s: float, spread: float, position: float) -> float:
-    """Return when a caller should come back that has ``left_s`` and is served in ``opens_in_s``.
+    """Return after how many seconds a caller should retry.
 
-    Callers that came over some time should not all return at one instant: ``position``, from 0 to
-    1, puts each within a part of ``spread`` of the wait behind its end, but not so late that it
-    would not wait so long.
+    Room is expected in ``opens_in_s``, and the caller has ``left_s`` until its deadline. Callers
+    that arrived over some time should not all return at one instant: ``position``, from 0 to 1,
+    puts each at its place within a time of ``spread`` times the wait after its end. This delay ends
+    early where the caller would not wait for so long.
 
     >>> wait_s(1.0, 6.0, 0.5, 0.0), wait_s(1.0, 6.0, 0.5, 1.0), wait_s(1.0, 3.3, 0.5, 1.0)
     (1.0, 1.5, 1.1)
--- a/src/croftpulley/core/suspect_messages.py
+++ b/src/croftpulley/core/suspect_messages.py
@@ -1,4 +1,7 @@
-"""What routers and control boxes say to each other of suspects, and what both go by; pure."""
+"""Messages between routers and control boxes about suspect requests, and rules that both apply.
+
+Pure: no I/O and no clock of its own.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,17 @@
 import attrs
 
 SUSPECTED_CRASHES = 2
-"""From here on a request runs at one endpoint at a time. With one, all that ran beside a request
-that ends endpoints would wait for a trial: up to 22 were seen in flight at an end."""
+"""From this many crashes on, a request runs at one endpoint at a time. With a threshold of one,
+every request that ran beside a crashing one would wait for a trial: up to 22 were seen in flight at
+a crash."""
 
 
 @attrs.frozen
 class Crash:
-    """An endpoint, named by its life, ended while it had a request."""
+    """An endpoint incarnation crashed while it had a request."""
 
     fingerprint: str
-    """Of the request, or the name of a part of its prompt; so in all that follows."""
+    """Feature: fingerprint of the request, or name of a prompt part. The same holds below."""
     workspace: str
     endpoint: str
     pool: str = ""
@@ -24,8 +28,9 @@
 
 @attrs.frozen
 class Asker:
-    """On whose behalf a trial of a part is asked for; ``others`` are the other parts of the prompt
-    that need one.
+    """For whom a trial of a prompt part is requested.
+
+    ``others`` are the other parts of the prompt that need a trial.
     """
 
     workspace: str = ""
@@ -34,7 +39,7 @@
 
 @attrs.frozen
 class TrialEnd:
-    """A trial is over, and no whole answer came; ``was_sent`` tells whether any byte left."""
+    """A trial ended without a complete response; ``was_sent`` tells whether any byte was sent."""
 
     fingerprint: str
     trial: str
@@ -43,7 +48,7 @@
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """What a router met: ends of endpoints, trials that are over, and requests answered whole."""
+    """What a router observed: crashes, ended trials, and features of complete responses."""
 
     crashes: tuple[Crash, ...] = ()
     trial_ends: tuple[TrialEnd, ...] = ()
@@ -51,24 +56,24 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether it says nothing."""
+        """Tell whether there is nothing to report."""
         return not (self.crashes or self.trial_ends or self.cleared)
 
 
 class Verdict(enum.Enum):
-    """What becomes of a request that asks for a trial."""
+    """Decision on a request for a trial."""
 
     FREE = "free"
-    """It is no suspect (any more)."""
+    """No trial needed: the feature is no suspect, or no longer."""
     GRANTED = "granted"
     BUSY = "busy"
-    """It is being tried elsewhere."""
+    """Another trial of it is under way."""
     REFUSED = "refused"
 
 
 @attrs.frozen
 class TrialAnswer:
-    """The verdict on a trial; ``wait_s`` is when to ask again, where it was not granted."""
+    """The verdict on a trial; ``wait_s`` is when to ask again if it was not granted."""
 
     verdict: Verdict
     crashes: int = 0
@@ -77,10 +82,10 @@
 
 @attrs.frozen
 class Told:
-    """What a router needs to know of one suspect; times are counted from when it is told.
+    """What a router needs to know of one suspect; times are relative to when it is sent.
 
-    The rest is told of parts, as `Suspect` has it; ``has_own_trial`` if one is left for those
-    against whom nothing speaks.
+    The fields from ``pools`` on are sent for prompt parts only, as `Suspect` describes them.
+    ``has_own_trial`` tells whether unaccused askers have a trial left.
     """
 
     fingerprint: str
@@ -94,7 +99,7 @@
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """What changed from the revision that a router knows, or all if ``is_whole``."""
+    """What changed since the revision that a router knows, or everything if ``is_whole``."""
 
     revision: int
     is_whole: bool = False
@@ -103,8 +108,10 @@
 
 
 def is_unaccused(asker: Asker, accused: tuple[str, ...], beside: tuple[str, ...]) -> bool:
-    """Tell whether nothing speaks against an asker: it is another, or its request lacks a part that
-    was there each time and may be the one.
+    """Tell whether no crash or trial implicates an asker.
+
+    Either its workspace is not accused, or its request lacks a part that was there each time and
+    may be the cause.
 
     >>> is_unaccused(Asker("shop"), ("clinic",), ())
     True
--- a/src/croftpulley/core/suspect_rules.py
+++ b/src/croftpulley/core/suspect_rules.py
@@ -1,6 +1,8 @@
-"""What is known of one request, or part of prompts, under which endpoints ended; pure.
+"""What is known of one feature (a request or a prompt part) that may crash endpoints.
 
-It says when requests with it need a trial, when they are refused, and for whom.
+The rules here decide when requests with it need a trial, when they are refused, and for whom.
+
+Pure: no I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -10,50 +12,56 @@
 from croftpulley.core import fingerprints, suspect_messages
 
 MOST_TRIALS = 2
-"""At once, one after the other. Users allow three sends after the third end, ever. The first trial
-is what brings the third end; that leaves the second, one after `REST_S`, and one for what was on
-its way when the second end became known or for an end that no router could report."""
+"""Trials of a request, one after the other, before the cooldown. Users allow three sends after the
+third crash, ever. The first trial causes the third crash; that leaves the second trial, one after
+the cooldown, and one for a request that was in transit when the second crash became known, or for a
+crash that no router could report."""
 MOST_ENDS_AND_TRIALS = 5
-"""A request under which more endpoints ended at once has fewer trials: with four ends one. Whoever
-was unlucky three times has one or two."""
+"""A request that was in flight at more crashes at once gets fewer trials: one after four crashes. A
+request that was there three times by chance still gets one or two."""
 REST_S = 3600.0
-"""After the last trial, before one more: time for operators to mend endpoints by a release."""
+"""Cooldown after the last trial, before one more: operators need time to release a fix."""
 UNPROVEN_REST_S = 60.0
-"""The same where no third end is known: both trials may have come to nothing otherwise."""
+"""The same without a third crash: both trials may have been inconclusive for another reason."""
 KEPT_S = 86_400.0
-"""After its last end a request is forgotten; it may end three endpoints more then, one in 8 h."""
+"""A request is forgotten this long after its last crash. It may then crash three more endpoints,
+one every 8 h."""
 BORNE_CRASHES = 5
-"""So many ends under one part users bear; requests with it that come later reach hardly any."""
+"""Crashes caused by one part that users tolerate; after these, requests with it may hardly reach
+any endpoint."""
 MOST_LATE_TRIALS = 2
-"""Of a part after these; users allow three, and one may be on its way when the last end is met."""
+"""Trials of a part after these; users allow three, and one may be in transit when the last crash is
+found."""
 PROVING_TRIALS = 2
-"""Trials that ended their endpoints, after which a part is refused; one, with so many ends that
-more trials would come late."""
+"""Trials that crashed their endpoints before a part is refused. Only one is needed if so many
+crashes are known that more trials would be late ones."""
 BLANK_RESTS_S = (0.0, 1.0, 10.0, 60.0, 600.0)
-"""Before the next trial of a part, by how many came to nothing: no success, and no end is known.
-The first gives time to hear of the end; later ones may hide ends that nobody could report."""
+"""Cooldown before the next trial of a part, by the number of inconclusive ones: no success, and no
+known crash. The first leaves time to learn of the crash; later trials may hide crashes that no
+router could report."""
 MOST_OWN_TRIALS = 1
-"""Trials of a part that is refused, for those against whom nothing speaks."""
+"""Trials of a refused part for unaccused askers."""
 MOST_ACCUSED = 8
-"""Workspaces, and pools, that are kept by name for each part."""
+"""Most workspaces, and most pools, recorded by name for each part."""
 MOST_BESIDE = 16
-"""Other suspect parts that are kept by name for each."""
+"""Most other suspect parts recorded by name for each part."""
 MOST_LIVES = 8
-"""Ends that are kept by name for each request: enough to know one that several routers report."""
+"""Most crashed incarnations recorded by name for each feature: enough to recognise one that several
+routers report."""
 
 
 @attrs.frozen(kw_only=True)
 class Suspect:
-    """One request, or part of prompts, under which endpoints ended.
+    """A feature that was in flight at the crash of at least one endpoint.
 
-    ``lives`` are the last of them, ``crashes`` how many there were, ``trial_crashes`` how many of
-    these since the first trial. ``trials`` counts those that may have reached an endpoint, the last
-    of them at ``last_trial_wall_s``, ``late_trials`` those after `BORNE_CRASHES`. ``trial`` is the
-    one that goes on, until ``trial_until_wall_s`` at the latest.
+    ``lives`` are the last crashed incarnations, ``crashes`` is the number of all, ``trial_crashes``
+    of those since the first trial. ``trials`` counts trials that may have reached an endpoint, the
+    last of them at ``last_trial_wall_s``, and ``late_trials`` those after the tolerated crashes.
+    ``trial`` is the one under way, until ``trial_until_wall_s`` at the latest.
 
-    Of a part, ``accused`` are the workspaces whose requests had it at an end or on trial, ``pools``
-    those of the endpoints, ``own_trials`` counts trials of those against whom nothing spoke, and
-    ``beside`` are the other suspect parts that were there at each of its trials.
+    For a part, ``accused`` are the workspaces whose requests had it at a crash or on trial,
+    ``pools`` the pools of the endpoints that crashed. ``own_trials`` counts trials of unaccused
+    askers, and ``beside`` are the other suspect parts that were there at each of its trials.
     """
 
     fingerprint: str
@@ -73,7 +81,7 @@
     pools: tuple[str, ...] = ()
 
     def crashed(self, crash: suspect_messages.Crash, at_wall_s: float) -> Suspect:
-        """Return the suspect after one more end; one that is known of only adds whose it was."""
+        """Return the suspect after a crash; a known crash only adds its workspace and pool."""
         accused, pools = self.accused, self.pools
         if self.is_part:
             accused = _with(accused, crash.workspace)
@@ -93,7 +101,7 @@
     def tried(
         self, trial: str, at_wall_s: float, limit_s: float, asker: suspect_messages.Asker
     ) -> Suspect:
-        """Return the suspect with a trial that has just begun."""
+        """Return the suspect with a trial that begins now."""
         is_own = self.rests_until_wall_s > at_wall_s
         others = asker.others[:MOST_BESIDE]
         if self.trials:
@@ -111,7 +119,7 @@
         )
 
     def trial_over(self, was_sent: bool) -> Suspect:
-        """Return the suspect once its trial is over; one that reached nobody does not count."""
+        """Return the suspect after its trial; one that was never sent is not counted."""
         over = attrs.evolve(self, trial="", trial_until_wall_s=0.0)
         if was_sent:
             return over
@@ -120,7 +128,7 @@
 
     @property
     def is_part(self) -> bool:
-        """Tell whether it is a part of prompts."""
+        """Tell whether it is a prompt part."""
         return fingerprints.is_part(self.fingerprint)
 
     @property
@@ -130,33 +138,34 @@
 
     @property
     def is_told(self) -> bool:
-        """Tell whether routers need to know of it: of a part from the first end on."""
+        """Tell whether routers need to know of it: a part from its first crash on."""
         return self.is_part or self.is_suspect
 
     @property
     def may_be_tried_by_others(self) -> bool:
-        """Tell whether it has a trial left for those against whom nothing speaks."""
+        """Tell whether unaccused askers have a trial left."""
         is_spent = self.own_trials >= MOST_OWN_TRIALS or self.late_trials >= MOST_LATE_TRIALS
         return self.is_part and not is_spent
 
     def has_own_trial(self, asker: suspect_messages.Asker) -> bool:
-        """Tell whether it may be tried for this asker even while it is refused."""
+        """Tell whether this asker may try it even while it is refused."""
         if not self.may_be_tried_by_others:
             return False
         return suspect_messages.is_unaccused(asker, self.accused, self.beside)
 
     @property
     def _is_late(self) -> bool:
+        """Whether a trial now comes after the tolerated crashes."""
         return self.is_part and self.crashes >= BORNE_CRASHES
 
     @property
     def refused_until_wall_s(self) -> float:
-        """Until when it is sent to no endpoint at all; 0 if it may be tried, or is being tried."""
+        """Until when requests with it are refused; 0 if a trial may begin or is under way."""
         return 0.0 if self.trial else self.rests_until_wall_s
 
     @property
     def rests_until_wall_s(self) -> float:
-        """Until when no other trial begins once the last one is over; 0 if one may."""
+        """Until when no trial may begin after the last one; 0 if one may begin now."""
         last_s = max(self.last_trial_wall_s, self.last_crash_wall_s)
         if self.is_part:
             return self._part_rests_until_wall_s(last_s)
@@ -180,6 +189,7 @@
 
 
 def _with(names: tuple[str, ...], name: str) -> tuple[str, ...]:
+    """Append a name if it is new; keep the last `MOST_ACCUSED`."""
     if name in names:
         return names
     return (*names, name)[-MOST_ACCUSED:]
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -1,20 +1,23 @@
-"""Requests and parts of prompts under which endpoints ended, as all control boxes agree on; pure.
-
-Every router reports which requests an endpoint had when it ended, and which parts their prompts
-share with others: the *features* (`core.fingerprints`) that may have ended it. One end says little:
-what merely ran there is among them. So a feature that two endpoints ended under is a *suspect*:
-requests with it are tried at one endpoint at a time in the whole fleet, and get so few trials that
-whoever was only unlucky is served, and whoever ends endpoints is soon refused. A success clears it.
-
-A part is shared, by callers too, and those who have it may have nothing to do with each other. So
-it is told from the first end on, for any box that sees it survive to clear it; once it is refused,
-a workspace under whose requests none ended, and a request without some other part that was there
-each time, have a trial of their own.
-
-All of it is in the replicated log: no restart, and no new leader, gives a request its first chances
-again. A trial is in the log before anything is sent, and counts whether or not its end is heard of:
-the router may be killed with what it met. Commands carry the time of day, so that each box comes to
-the same.
+"""Features of requests that may crash endpoints, as agreed on by the control boxes.
+
+Each router reports which requests an endpoint had when it crashed, and which prompt parts they
+share with others: the *features* (`core.fingerprints`) that may have caused the crash. One crash
+proves little, as most of the requests were there by chance. A feature that was in flight at two
+crashes is a *suspect*: requests with it are tried at one endpoint at a time in the whole fleet.
+They get few trials, enough that a request which was there by chance is served, and one that crashes
+endpoints is soon refused. A success clears the feature.
+
+Prompt parts are shared, also between unrelated callers. So routers learn of a part from its first
+crash on, and any box that sees an endpoint survive it clears it. Once it is refused, two kinds of
+requests have a trial of their own: those of a workspace that was in none of the crashes, and those
+without some other part that was there each time.
+
+All of this is in the replicated log, so a restart or a new leader gives a request no further
+trials. A trial is logged before anything is sent, and counts whether or not its end is reported:
+the router may be killed before it reports. Commands carry the wall-clock time, so that all control
+boxes compute the same state.
+
+Pure: no I/O and no clock of its own.
 """
 
 from __future__ import annotations
@@ -26,10 +29,10 @@
 from croftpulley.core import bulletins, fingerprints, suspect_messages, suspect_rules
 
 MOST_SUSPECTS = 2048
-"""Bounds memory (1.5 MB a control box, 0.4 MB a router, with three ends each) and what a router
-that has just started is told (129 kB)."""
+"""Limits memory (1.5 MB per control box and 0.4 MB per router, with three crashes each) and what a
+restarted router receives (129 kB)."""
 MOST_REMOVED = 512
-"""Removals that are kept to be told; a router that lacks more is told all."""
+"""Most removals kept for incremental updates; a router that is further behind gets everything."""
 
 
 _ANYBODY = suspect_messages.Asker()
@@ -37,7 +40,7 @@
 
 @attrs.define
 class Suspects:
-    """All suspects of the agreed state.
+    """All suspects in the replicated state.
 
     >>> from croftpulley.core import suspect_messages as messages
     >>> suspects = Suspects()
@@ -62,7 +65,7 @@
 
     @classmethod
     def of(cls, suspects: tuple[suspect_rules.Suspect, ...], revision: int) -> Suspects:
-        """Make them from what `all` and `revision` of others returned."""
+        """Restore from what `all` and `revision` of another instance returned."""
         made = cls(revision=revision, from_revision=revision)
         for each in suspects:
             made._by_fingerprint[each.fingerprint] = each
@@ -73,22 +76,22 @@
 
     @property
     def revision(self) -> int:
-        """Grows with each change of what routers are told."""
+        """Counts the changes that routers need to know."""
         return self._revision
 
     def all(self) -> tuple[suspect_rules.Suspect, ...]:
-        """Return every suspect, and those under which one endpoint ended."""
+        """Return all features that were in flight at a crash, suspects or not."""
         return tuple(self._by_fingerprint.values())
 
     def known(self, names: tuple[str, ...]) -> tuple[str, ...]:
-        """Leave out the parts against which nothing speaks; any thread may ask."""
+        """Return ``names`` without the prompt parts that no crash is known for; thread-safe."""
         told = {each.suspect.fingerprint for each in self.bulletin.entries}
         return tuple(each for each in names if each in told or not fingerprints.is_part(each))
 
     def report(
         self, report: suspect_messages.Report, at_wall_s: float
     ) -> tuple[suspect_rules.Suspect, ...]:
-        """Take a router's report; return what it changed of those that routers are told of."""
+        """Apply a router's report; return the suspects that its crashes changed."""
         changed = {}
         for crash in report.crashes:
             before = self._get(crash)
@@ -112,9 +115,10 @@
         at_wall_s: float,
         asker: suspect_messages.Asker = _ANYBODY,
     ) -> suspect_messages.TrialAnswer:
-        """Grant a trial that lasts ``limit_s`` at most, if the request may be tried now.
+        """Grant a trial of at most ``limit_s`` if the feature may be tried now.
 
-        The same trial asked for again, since the answer was lost, is granted again.
+        Repeating the request of a granted trial, whose response may have been lost, grants it
+        again.
         """
         answer = self.verdict(fingerprint, trial, at_wall_s, asker)
         known = self._by_fingerprint.get(fingerprint)
@@ -134,9 +138,9 @@
         at_wall_s: float,
         asker: suspect_messages.Asker = _ANYBODY,
     ) -> suspect_messages.TrialAnswer:
-        """Return what `begin_trial` would; changes nothing, and any thread may ask.
+        """Return what `begin_trial` would, without any change; thread-safe.
 
-        It reads the bulletin: what is being changed lacks the entry for a moment.
+        Reads the bulletin: an entry that is being replaced is missing from the dict for a moment.
         """
         known = self.bulletin.find(fingerprint)
         if known is None or not known.is_suspect:
@@ -155,19 +159,22 @@
         return suspect_messages.TrialAnswer(suspect_messages.Verdict.GRANTED, known.crashes)
 
     def _get(self, crash: suspect_messages.Crash) -> suspect_rules.Suspect:
+        """Return the suspect of a crash, a new one if it is unknown."""
         known = self._by_fingerprint.get(crash.fingerprint)
         return known or suspect_rules.Suspect(
             fingerprint=crash.fingerprint, workspace=crash.workspace
         )
 
     def _end_trial(self, end: suspect_messages.TrialEnd) -> None:
+        """End a trial if it is the one under way."""
         known = self._by_fingerprint.get(end.fingerprint)
         if known is not None and known.trial == end.trial:
             self._set(known.trial_over(end.was_sent))
 
     def _set(self, suspect: suspect_rules.Suspect) -> None:
+        """Store a suspect as the most recently changed, and publish it if routers need it."""
         name = suspect.fingerprint
-        # The last one to change comes last.
+        # Re-inserted so that the latest change comes last.
         self._by_fingerprint.pop(name, None)
         self._by_fingerprint[name] = suspect
         if suspect.is_told:
@@ -176,6 +183,7 @@
             self._told[name] = bulletins.Entry(self._revision, suspect)
 
     def _remove(self, fingerprint: str) -> None:
+        """Remove a feature, and record the removal if routers know of it."""
         self._by_fingerprint.pop(fingerprint, None)
         if self._told.pop(fingerprint, None) is None:
             return
@@ -185,7 +193,7 @@
             self._from_revision = self._removals.popleft().revision
 
     def _forget(self, at_wall_s: float) -> None:
-        """Drop what is old, and what is too much: of the workspace that has most of them."""
+        """Remove expired suspects, then those above the limit."""
         for each in list(self._by_fingerprint.values()):
             if at_wall_s - each.last_crash_wall_s < suspect_rules.KEPT_S:
                 break
@@ -196,16 +204,16 @@
                 self._remove(fingerprint)
 
     def _least_missed(self, count: int) -> list[str]:
-        """Return those to forget first, so that no workspace drives out another's.
+        """Return the features to evict first, so that no workspace evicts those of another.
 
-        Of the workspace that has most, one by one: first those under which fewest endpoints ended,
-        the oldest of these first.
+        They are taken one by one from the workspace that has most at that time: those with fewest
+        crashes first, and the oldest of these first.
         """
         by_workspace: dict[str, list[suspect_rules.Suspect]] = {}
         for each in self._by_fingerprint.values():
             by_workspace.setdefault(each.workspace, []).append(each)
         for kept in by_workspace.values():
-            # Sorting keeps the order of those that are alike; the last one is taken first.
+            # The sort is stable; features are popped from the end.
             kept.sort(key=lambda each: each.crashes)
             kept.reverse()
         gone = []
@@ -215,6 +223,7 @@
         return gone
 
     def _publish(self) -> None:
+        """Replace the bulletin if anything in it changed."""
         if self.bulletin.revision != self._revision or not self.bulletin.entries:
             self.bulletin = bulletins.Bulletin(
                 self._revision,
--- a/src/croftpulley/core/told_load.py
+++ b/src/croftpulley/core/told_load.py
@@ -1,9 +1,9 @@
-"""What an endpoint tells of its load in the head of an answer.
+"""The load that an endpoint reports in the head of a response.
 
-It is true of the endpoint at one moment, of all boxes' requests and of others' too, where it shares
-its machine. It may be late or false: it only ever adds to what boxes know of an endpoint's load,
-for a moment, so that one which says that it is idle draws no more requests than before, and one
-which says that it is full loses those of some tenths of a second.
+The report covers the requests of all boxes, and other work where the endpoint shares its machine.
+It is a snapshot, and may be late or wrong. So it can only raise a box's estimate of an endpoint's
+load, for a moment: an endpoint that falsely reports itself idle gets no more requests than before,
+and one that falsely reports itself full loses those of some tenths of a second.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 import attrs
 
 FRESH_S = 0.25
-"""For how long it says more than what boxes tell each other, four times a second."""
+"""How long a report is used: boxes exchange their loads four times a second."""
 USUAL_PERCENT = 100
+"""``time_percent`` of an endpoint where work takes as long as usual."""
 _MOST = 1_000_000
-"""Nobody runs so many requests, or has so many slots."""
+"""Larger numbers of requests or slots are not plausible."""
 _FIELDS = re.compile(r"(\d{1,7}),(\d{1,7}),(\d{1,7})(?:,(\d{1,7}))?", re.ASCII).fullmatch
 
 
 @attrs.frozen(kw_only=True)
 class ToldLoad:
-    """Requests that run and that wait, the slots, and how long work takes there now.
+    """Numbers of running and waiting requests and of slots, and the current duration of work.
 
-    ``time_percent`` is 100 where work takes as long as usual, ``None`` where that is not told.
+    ``time_percent`` is relative to the usual duration (100), ``None`` if it is not reported.
     """
 
     running: int
@@ -34,19 +35,19 @@
 
     @property
     def present(self) -> int:
-        """All requests there, but never more than twice the slots."""
+        """Running and waiting requests, limited to twice the slots."""
         return min(self.running + self.waiting, 2 * self.slots)
 
     @property
     def is_full(self) -> bool:
-        """Tell whether another request would wait."""
+        """Tell whether another request would have to wait."""
         return self.running + self.waiting >= self.slots
 
 
 def parse(text: str) -> ToldLoad | None:
-    """Read ``RUNNING,WAITING,SLOTS`` or ``RUNNING,WAITING,SLOTS,PERCENT``.
+    """Parse ``RUNNING,WAITING,SLOTS`` or ``RUNNING,WAITING,SLOTS,PERCENT``.
 
-    Returns ``None`` for what says nothing.
+    Returns ``None`` for an invalid report.
 
     >>> parse("3,0,8"), parse("3,0") is None, parse("3,0,0") is None
     (ToldLoad(running=3, waiting=0, slots=8, time_percent=None), True, True)
--- a/src/croftpulley/core/verdicts.py
+++ b/src/croftpulley/core/verdicts.py
@@ -1,4 +1,4 @@
-"""What becomes of a request after an attempt at one endpoint."""
+"""Decides what to do with a request after an endpoint's response."""
 
 from __future__ import annotations
 
@@ -9,29 +9,34 @@
 PROMISES_NOT_RUN = (408, 421, 429, 503)
 """Statuses that tell a caller that the request has not run and never will."""
 MISDIRECTED = 421
-"""Another endpoint has the address; this one did not run the request."""
+"""Status for a request meant for another endpoint at this address; it was not run."""
 FIRST_SERVER_ERROR = 500
-"""Statuses from here on are errors of the endpoint's own."""
+"""Lowest status of a server error."""
 SUCCESSES = range(200, 300)
-"""Statuses of answers to requests that were carried out."""
+"""Statuses of requests that were carried out."""
 
 
 class Verdict(enum.Enum):
     """What to do next."""
 
     PASS_ON = "pass_on"
-    """The answer is the caller's, as it is."""
+    """Forward the response to the caller unchanged."""
     NOT_RUN = "not_run"
-    """The endpoint did not run the request: another may be asked whatever the request is."""
+    """The endpoint did not run the request: any request may be sent to another endpoint."""
     FAILED = "failed"
-    """The endpoint ran it or may have: another may be asked only if it may run again."""
+    """The endpoint ran the request or may have: only one that may run twice goes to another
+    endpoint."""
     MISLEADING = "misleading"
-    """As `FAILED`, and the answer must not be passed on: it would say what is not so."""
+    """As `FAILED`, and the response must not be forwarded, as it would be untrue."""
 
 
 @attrs.frozen(kw_only=True)
 class AnswerFacts:
-    """What the head of an endpoint's answer says."""
+    """What the head of a response says.
+
+    ``declined`` and ``has_proof`` tell whether the endpoint states that it did not run, or ran, the
+    request; ``id_matches`` whether the response names the id of this attempt.
+    """
 
     status: int
     declined: bool
@@ -40,7 +45,7 @@
 
 
 def judge(answer: AnswerFacts) -> Verdict:
-    """Judge an answer by its head.
+    """Return the verdict on a response, given its head.
 
     >>> judge(AnswerFacts(status=200, declined=False, has_proof=True, id_matches=True)).name
     'PASS_ON'
--- a/src/croftpulley/core/window.py
+++ b/src/croftpulley/core/window.py
@@ -1,8 +1,8 @@
-"""How many requests a box has at once at an endpoint that asked it for rest not long ago.
+"""Congestion window of a box at an endpoint that rejected it lately.
 
-When a rest is over, whoever was put off comes back at once, and an endpoint that was full is full
-again. So a box begins with less than it had there when it was turned away, and grows slowly from
-there, as senders do that met congestion.
+After the rest that an endpoint asked for, all rejected callers return at once and would fill it
+again. So a box starts with fewer concurrent requests than it had when it was rejected, and
+increases them slowly, as TCP does after congestion.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import attrs
 
 _KEPT = 0.7
-"""Of what a box had there when it was turned away. Half of it leaves endpoints idle whose requests
-take seconds, nearly all of it has them full again at once."""
+"""Decrease factor on a rejection. Half leaves endpoints idle whose requests take seconds; nearly
+all fills them again at once."""
 FORGOTTEN_S = 10.0
-"""How long after it was turned away last a box goes by this: a surge lasts some seconds."""
+"""How long the window applies after the last rejection: a surge lasts some seconds."""
 
 
 @attrs.define
 class Window:
-    """One box at one endpoint; ``size`` is how many requests it may have there.
+    """Window of one box at one endpoint; ``size`` limits its concurrent requests there.
 
     >>> window = Window()
     >>> window.turned_away(10, 1.0); window.admits(6), window.admits(7)
@@ -33,26 +33,27 @@
 
     @property
     def is_blank(self) -> bool:
-        """Tell whether it bounds nothing."""
+        """Tell whether there is no limit."""
         return self.size == float("inf")
 
     def admits(self, in_flight: int) -> bool:
-        """Tell whether one more may go there beside those."""
+        """Tell whether another request may be sent, in addition to those in flight."""
         return in_flight + 1 <= self.size
 
     def turned_away(self, in_flight: int, now_s: float) -> None:
-        """Note that the endpoint asked for rest, with so many there, the one it rejects included.
+        """Shrink the window, as the endpoint asked for rest; ``in_flight`` includes the rejected
+        request.
 
-        To be called once a rest: requests that were under way together are turned away together.
+        Call it once per rest: concurrent requests are rejected together.
         """
         self.size = max(1.0, _KEPT * in_flight)
         self.turned_away_at_s = now_s
 
     def accepted(self) -> None:
-        """Note that it took a request."""
+        """Widen the window, as the endpoint accepted a request."""
         self.size += 1.0 / self.size
 
     def forget(self, now_s: float) -> None:
-        """Drop a bound that has held for long enough."""
+        """Lift the limit if the last rejection is old enough."""
         if now_s >= self.turned_away_at_s + FORGOTTEN_S:
             self.size = float("inf")
--- a/src/croftpulley/core/withdrawal.py
+++ b/src/croftpulley/core/withdrawal.py
@@ -1,7 +1,8 @@
-"""What an endpoint says of itself in the head of an answer: that it wants rest, or that it leaves.
+"""What an endpoint announces in the head of a response: that it needs rest, or shuts down.
 
-A rest is said to one box and binds that box until it has run out. Leaving is true of the life,
-whoever heard it, and nothing takes it back.
+A *rest* is a time without requests, asked for by a 503 with Retry-After. It is asked of one box,
+and applies to that box until it expires. A shutdown (*leaving*) is true of the incarnation,
+whichever box learns of it, and is never revoked.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 from croftpulley.core import verdicts
 
 LONGEST_REST_S = 3600.0
-"""A longer rest counts as one of this length: nobody plans further ahead with a load of requests,
-and a box remembers it for so long."""
+"""Longer rests are cut to this length: no endpoint plans its load further ahead, and a box has to
+remember the rest for as long."""
 LEAVING_KEPT_S = 3600.0
-"""How long it is remembered that a life leaves that is listed no more, should it be listed again:
-far longer than endpoints take to end."""
+"""How long an announced shutdown is remembered after the incarnation left the list, in case it is
+listed again: far longer than endpoints take to shut down."""
 _ASKS_FOR_REST = 503
-"""The status with which an endpoint turns a request away; in others Retry-After says something
-else (RFC 9110, section 10.2.3)."""
+"""Status that rejects a request for lack of room; with other statuses Retry-After has another
+meaning (RFC 9110, section 10.2.3)."""
 _LEAVES = "1"
 _SECONDS = re.compile(r"[0-9]{1,400}(?:\.[0-9]{1,400})?", re.ASCII).fullmatch
 
 
 @attrs.frozen(kw_only=True)
 class Notice:
-    """What one answer says of its endpoint.
+    """What one response announces about its endpoint.
 
     ``rest_s`` is how long it wants no requests from this box, 0 if it does not ask. ``unusable``
-    are values of the headers that say nothing.
+    are header values that could not be parsed.
     """
 
     rest_s: float = 0.0
@@ -42,7 +43,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing was said."""
+        """Tell whether nothing was announced."""
         return not (self.rest_s or self.leaves or self.unusable)
 
 
@@ -52,10 +53,10 @@
 def read(
     status: int, retry_after: Iterable[str], leaving: Iterable[str], date: str, wall_s: float
 ) -> Notice:
-    """Read a notice from the values of an answer's headers, each as often as it stands there.
+    """Parse a notice from header values of a response; a header may occur several times.
 
-    ``date`` is when the endpoint made the answer by its own clock, for a rest that is given as a
-    point in time; without it this box's clock serves, ``wall_s``.
+    ``date`` is the Date header, the endpoint's own clock, to which a Retry-After with a point in
+    time is relative; without it this box's ``wall_s`` is used.
 
     >>> read(503, ["2.5", "1"], [], "", 0.0)
     Notice(rest_s=2.5, leaves=False, unusable=())
@@ -63,7 +64,7 @@
     Notice(rest_s=0.0, leaves=True, unusable=())
     """
     if status == verdicts.MISDIRECTED:
-        # Another endpoint has the address; it speaks of itself.
+        # Another endpoint has the address, and its headers are about itself.
         return NOTHING
     unusable = []
     rest_s = 0.0
@@ -85,9 +86,9 @@
 
 
 def parse_retry_after(value: str, date: str, wall_s: float) -> float | None:
-    """Return how many seconds a Retry-After asks for, ``None`` if it cannot be read.
+    """Return how many seconds a Retry-After asks for, ``None`` if it cannot be parsed.
 
-    Fractions are taken as well. A point in time that has passed asks for nothing.
+    Fractions are accepted too. A point in time that has passed gives 0.
 
     >>> parse_retry_after("0.25", "", 0.0), parse_retry_after("-1", "", 0.0)
     (0.25, None)
@@ -106,8 +107,8 @@
 
 
 def _unix_s(text: str) -> float | None:
-    """Return the Unix time of an HTTP date, ``None`` if it is none."""
-    # Only a date has letters; what else the library takes for one is none here.
+    """Return the Unix time of an HTTP date, ``None`` if it is not one."""
+    # HTTP dates start with letters; the library also parses other formats, which are invalid here.
     if not text[:3].isalpha():
         return None
     try:
@@ -119,7 +120,7 @@
 
 @attrs.frozen(kw_only=True)
 class Heard:
-    """What was news in a notice: a rest that begins or is longer, leaving, values of no use."""
+    """What was new in a notice: a new or longer rest, a shutdown, unusable values."""
 
     rests: bool = False
     leaves: bool = False
@@ -128,7 +129,7 @@
 
 @attrs.frozen
 class Ended:
-    """A rest that is over: how long it was in all, and how many requests left meanwhile."""
+    """An expired rest: its total length, and how many requests were sent meanwhile."""
 
     endpoint: str
     rest_s: float
@@ -137,9 +138,9 @@
 
 @attrs.define
 class Withdrawal:
-    """Whether one life of an endpoint takes requests from this box, by its own words.
+    """Whether an incarnation takes requests from this box, by its own announcements.
 
-    Where it asks for several rests at once all of them bind, so the latest end counts.
+    If rests overlap, the latest end applies.
 
     >>> withdrawal = Withdrawal()
     >>> [withdrawal.hear(Notice(rest_s=s), at_s).rests for s, at_s in ((3.0, 10.0), (1.0, 10.5))]
@@ -155,17 +156,17 @@
     leaves: bool = False
     heard_at_s: float = float("-inf")
     sent_since: int = 0
-    """Requests that were on their way out when it asked, and left all the same."""
+    """Requests that were already on their way out when it asked for rest, and were sent."""
     says_unusable: bool = False
 
     @property
     def until_s(self) -> float:
-        """When it takes requests again."""
+        """When it takes requests again; infinite once it shuts down."""
         return float("inf") if self.leaves else self.rest_until_s
 
     @property
     def is_blank(self) -> bool:
-        """Tell whether nothing was said that counts still."""
+        """Tell whether no announcement applies."""
         return self.until_s == float("-inf") and not self.says_unusable
 
     def binds(self, now_s: float) -> bool:
@@ -173,11 +174,11 @@
         return now_s < self.until_s
 
     def outlasts_list(self, now_s: float) -> bool:
-        """Tell whether it still counts though the list has its endpoint no more."""
+        """Tell whether it must be kept although its endpoint is not listed."""
         return now_s < max(self.rest_until_s, self.heard_at_s + LEAVING_KEPT_S * self.leaves)
 
     def hear(self, notice: Notice, now_s: float) -> Heard:
-        """Take what an answer said whose head was read at ``now_s``; return what is news."""
+        """Apply a notice whose response head was read at ``now_s``; return what is new."""
         until_s = now_s + notice.rest_s if notice.rest_s else float("-inf")
         heard = Heard(
             rests=until_s > self.rest_until_s,
@@ -195,7 +196,7 @@
         return heard
 
     def end_rest(self, now_s: float) -> tuple[float, int] | None:
-        """Forget a rest that is over; return its length and how many requests left meanwhile."""
+        """Clear an expired rest; return its length and the requests sent meanwhile, or ``None``."""
         if not float("-inf") < self.rest_until_s <= now_s:
             return None
         ended = (self.rest_until_s - self.rest_from_s, self.sent_since)
