--- a/src/croftpulley/core/answering.py
+++ b/src/croftpulley/core/answering.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-RECENT_S = 2.0
+REPORT_TTL_S = 2.0
 """How long a reported response shows that its pool answers: a few renewal intervals, so that a pool
 that gets few requests a second still counts."""
 
@@ -27,13 +27,13 @@
     (('llm',), (), ())
     """
 
-    _at_s: dict[str, dict[str, float]] = attrs.field(factory=dict)
+    _reported_at_s: dict[str, dict[str, float]] = attrs.field(factory=dict)
     """Report times by pool, then by box."""
 
     def note(self, box: str, pools: Iterable[str], now_s: float) -> None:
         """Record a box's report that these pools have responded since its last report."""
         for pool in pools:
-            of_pool = self._at_s.setdefault(pool, {})
+            of_pool = self._reported_at_s.setdefault(pool, {})
             of_pool.pop(box, None)
             # Re-inserted so that the newest report comes last.
             of_pool[box] = now_s
@@ -41,23 +41,25 @@
     def by_others(self, box: str, now_s: float) -> tuple[str, ...]:
         """Return the pools, sorted, that lately responded to a box other than ``box``."""
         return tuple(
-            pool for pool, of_pool in sorted(self._at_s.items()) if _other(of_pool, box, now_s)
+            pool
+            for pool, of_pool in sorted(self._reported_at_s.items())
+            if _has_recent_other(of_pool, box, now_s)
         )
 
     def forget(self, now_s: float) -> None:
-        """Drop reports older than `RECENT_S`."""
-        for pool, of_pool in list(self._at_s.items()):
-            recent = {box: at_s for box, at_s in of_pool.items() if now_s < at_s + RECENT_S}
+        """Drop reports older than `REPORT_TTL_S`."""
+        for pool, of_pool in list(self._reported_at_s.items()):
+            recent = {box: at_s for box, at_s in of_pool.items() if now_s < at_s + REPORT_TTL_S}
             if recent:
-                self._at_s[pool] = recent
+                self._reported_at_s[pool] = recent
             else:
-                del self._at_s[pool]
+                del self._reported_at_s[pool]
 
 
-def _other(of_pool: dict[str, float], box: str, now_s: float) -> bool:
+def _has_recent_other(of_pool: dict[str, float], box: str, now_s: float) -> bool:
     """Tell whether a box other than ``box`` reported recently.
 
     Only the two newest reports need a look, as each box has one.
     """
     newest = [name for name, _ in zip(reversed(of_pool), range(2), strict=False)]
-    return any(name != box and now_s < of_pool[name] + RECENT_S for name in newest)
+    return any(name != box and now_s < of_pool[name] + REPORT_TTL_S for name in newest)
--- a/src/croftpulley/core/assembly.py
+++ b/src/croftpulley/core/assembly.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-HELD_CHUNKS_LIMIT = 256
+MAX_BUFFERED_CHUNKS = 256
 """Most chunks buffered while an earlier one is missing; beyond it the stream counts as broken."""
 
 
@@ -59,7 +59,7 @@
         self._parts: list[str] = []
         self._length_chars = 0
         self._attempt = 1
-        self._held: dict[int, str] = {}
+        self._buffered: dict[int, str] = {}
 
     @property
     def offset_chars(self) -> int:
@@ -76,7 +76,7 @@
     def begin_attempt(self, number: int) -> None:
         """Accept only chunks of attempt ``number``; drop those buffered from earlier ones."""
         self._attempt = number
-        self._held.clear()
+        self._buffered.clear()
 
     def add(self, attempt: int, chunk: Chunk) -> str:
         """Add a chunk; return the text that can be delivered next, which may be empty.
@@ -86,12 +86,12 @@
         """
         if attempt != self._attempt or not chunk.text:
             return ""
-        if chunk.offset_chars == self._length_chars and not self._held:
+        if chunk.offset_chars == self._length_chars and not self._buffered:
             return self._append(chunk.text)
         if chunk.offset_chars > self._length_chars:
-            self._hold(chunk)
+            self._buffer(chunk)
             return ""
-        return self._append_rest(chunk) + self._release()
+        return self._append_new(chunk) + self._append_buffered()
 
     def check_end(self, total_chars: int) -> bool:
         """Tell whether the text is complete at ``total_chars``.
@@ -99,7 +99,7 @@
         Raises `ContradictionError` if more text has arrived than that.
         """
         if self._length_chars > total_chars:
-            raise ContradictionError(f"received {self._length_chars} of {total_chars} characters")
+            raise ContradictionError(f"got {self._length_chars} characters of {total_chars}")
         return self._length_chars == total_chars
 
     def _append(self, text: str) -> str:
@@ -107,29 +107,29 @@
         self._length_chars += len(text)
         return text
 
-    def _hold(self, chunk: Chunk) -> None:
-        if len(self._held) >= HELD_CHUNKS_LIMIT:
-            raise ContradictionError(f"more than {HELD_CHUNKS_LIMIT} chunks wait for a missing one")
-        longest = max(chunk.text, self._held.get(chunk.offset_chars, ""), key=len)
-        self._held[chunk.offset_chars] = longest
+    def _buffer(self, chunk: Chunk) -> None:
+        if len(self._buffered) >= MAX_BUFFERED_CHUNKS:
+            raise ContradictionError(
+                f"more than {MAX_BUFFERED_CHUNKS} chunks wait for a missing one"
+            )
+        longest = max(chunk.text, self._buffered.get(chunk.offset_chars, ""), key=len)
+        self._buffered[chunk.offset_chars] = longest
 
-    def _append_rest(self, chunk: Chunk) -> str:
+    def _append_new(self, chunk: Chunk) -> str:
         """Append the new part of ``chunk``, after checking that the overlap matches."""
         known = min(self._length_chars, chunk.end_chars)
         overlap = known - chunk.offset_chars
         if overlap and self.text[chunk.offset_chars : known] != chunk.text[:overlap]:
-            raise ContradictionError(
-                f"chunk at offset {chunk.offset_chars} differs from text already received"
-            )
+            raise ContradictionError(f"other text came for offset {chunk.offset_chars}")
         rest = chunk.text[overlap:]
         return self._append(rest) if rest else ""
 
-    def _release(self) -> str:
+    def _append_buffered(self) -> str:
         """Append buffered chunks that now join the text; return what they added."""
         released = []
-        for offset_chars in sorted(self._held):
+        for offset_chars in sorted(self._buffered):
             if offset_chars > self._length_chars:
                 break
-            text = self._held.pop(offset_chars)
-            released.append(self._append_rest(Chunk(offset_chars, text)))
+            text = self._buffered.pop(offset_chars)
+            released.append(self._append_new(Chunk(offset_chars, text)))
         return "".join(released)
--- a/src/croftpulley/core/brittle.py
+++ b/src/croftpulley/core/brittle.py
@@ -13,12 +13,12 @@
 
 import attrs
 
-BELIEVED_S = 5.0
+ANNOUNCEMENT_TTL_S = 5.0
 """How long an announcement holds if it is not renewed."""
-SAFETY = 2.0
+SAFETY_FACTOR = 2.0
 """Safety factor on the announced number of rejections, as several boxes may be rejected in the same
 second."""
-LEAST_AWAY_S = 1.0
+MIN_BACKOFF_S = 1.0
 """Shortest back-off after a rejection: the second over which an endpoint counts rejections."""
 _NUMBER = re.compile(r"\d{1,7}", re.ASCII).fullmatch
 
@@ -41,11 +41,11 @@
     >>> away_s(8, 3), away_s(8, 92), away_s(0, 3)
     (1.0, 23.0, 6.0)
     """
-    return max(LEAST_AWAY_S, SAFETY * max(1, boxes) / max(1, most_turned_away))
+    return max(MIN_BACKOFF_S, SAFETY_FACTOR * max(1, boxes) / max(1, most_turned_away))
 
 
 @attrs.frozen
-class _Said:
+class _Announcement:
     """An announcement and when it expires."""
 
     pool: str
@@ -64,28 +64,32 @@
     (8, None)
     """
 
-    _said: dict[str, _Said] = attrs.field(factory=dict)
+    _announcements: dict[str, _Announcement] = attrs.field(factory=dict)
 
     def hear(self, endpoint: str, pool: str, most: int | None, now_s: float) -> bool:
         """Record the limit announced in a response, ``None`` if it has none; tell whether it
         changed.
         """
-        known = self._said.pop(endpoint, None)
+        known = self._announcements.pop(endpoint, None)
         is_new = known is None or known.until_s <= now_s or known.most_turned_away != most
         if most is None:
             return known is not None and known.until_s > now_s
-        self._said[endpoint] = _Said(pool, most, now_s + BELIEVED_S)
+        self._announcements[endpoint] = _Announcement(pool, most, now_s + ANNOUNCEMENT_TTL_S)
         return is_new
 
     def most_turned_away(self, pool: str, now_s: float) -> int | None:
         """Return the lowest limit in a pool, in rejections a second; ``None`` if it has none."""
-        if not self._said:
+        if not self._announcements:
             return None
-        self._said = {key: each for key, each in self._said.items() if now_s < each.until_s}
-        of_pool = [each.most_turned_away for each in self._said.values() if each.pool == pool]
+        self._announcements = {
+            key: each for key, each in self._announcements.items() if now_s < each.until_s
+        }
+        of_pool = [
+            each.most_turned_away for each in self._announcements.values() if each.pool == pool
+        ]
         return min(of_pool, default=None)
 
     def is_brittle(self, endpoint: str, now_s: float) -> bool:
-        """Tell whether the endpoint has announced a limit within `BELIEVED_S`."""
-        said = self._said.get(endpoint)
-        return said is not None and now_s < said.until_s
+        """Tell whether the endpoint has announced a limit within `ANNOUNCEMENT_TTL_S`."""
+        announcement = self._announcements.get(endpoint)
+        return announcement is not None and now_s < announcement.until_s
--- a/src/croftpulley/core/doubts.py
+++ b/src/croftpulley/core/doubts.py
@@ -19,15 +19,15 @@
 from croftpulley import codes
 from croftpulley.core import attempts
 
-RECENT_S = 1.0
+RECENT_CANDIDATE_S = 1.0
 """A request that ended this long before the address refused connections is still a candidate. One
 that its caller gave up may have started running by then; endpoints crash within 0.1 s of such a
 start. Requests that ended longer before a successful response are no candidates any more."""
-LISTED_S = 10.0
+UNLISTED_CANDIDATE_S = 10.0
 """The same, before the list lacks the endpoint: that takes some seconds after the crash."""
-_MOST_SURVIVED = 10_000
+_MAX_SURVIVED_PARTS = 10_000
 """Most parts remembered per pool, about 1 MB; the oldest are dropped first."""
-_ENDED_KEPT_S = 60.0
+_ENDED_TTL_S = 60.0
 """How long a crash is remembered; the incarnation leaves the list long before that."""
 
 
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class _Open:
+class _OpenAttempt:
     """An attempt under way."""
 
     request: Named
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class _Left:
+class _EndedAttempt:
     """An attempt that ended without proof that the endpoint survived it."""
 
     request: Named
@@ -87,40 +87,40 @@
 
 
 @attrs.define
-class _Life:
+class _Incarnation:
     """Attempts at one incarnation: those under way, and ended ones that are still candidates."""
 
-    open: dict[int, _Open] = attrs.field(factory=dict)
+    open: dict[int, _OpenAttempt] = attrs.field(factory=dict)
     """Attempts under way, by the ``id`` of the attempt object."""
-    left: list[_Left] = attrs.field(factory=list)
-    answers_at_s: float = float("-inf")
+    ended: list[_EndedAttempt] = attrs.field(factory=list)
+    reachable_at_s: float = float("-inf")
     """When its address last accepted a connection."""
 
-    def in_doubt(self, since_s: float) -> tuple[Named, ...]:
+    def candidates(self, since_s: float) -> tuple[Named, ...]:
         """Return the requests under way and those whose attempt ended at or after ``since_s``."""
-        left = [each.request for each in self.left if each.at_s >= since_s]
+        recently_ended = [each.request for each in self.ended if each.at_s >= since_s]
         # A request that still waits for its connection has not started to run.
         under_way = [each.request for each in self.open.values() if each.may_run]
-        return tuple(dict.fromkeys([*under_way, *left]))
+        return tuple(dict.fromkeys([*under_way, *recently_ended]))
 
     def survived(self, now_s: float) -> None:
         """Drop the attempts that ended long enough ago: the endpoint is alive after them."""
-        self.left = [each for each in self.left if now_s - each.at_s < RECENT_S]
+        self.ended = [each for each in self.ended if now_s - each.at_s < RECENT_CANDIDATE_S]
 
-    def take_closed(self, before_s: float) -> tuple[Named, ...]:
+    def pop_closed(self, before_s: float) -> tuple[Named, ...]:
         """Remove closed attempts that ended before ``before_s``; return their requests."""
-        whole = [each for each in self.left if each.was_closed(before_s)]
-        self.left = [each for each in self.left if not each.was_closed(before_s)]
+        whole = [each for each in self.ended if each.was_closed(before_s)]
+        self.ended = [each for each in self.ended if not each.was_closed(before_s)]
         return tuple(each.request for each in whole)
 
     def forget(self, now_s: float) -> None:
         """Drop ended attempts that are too old to be candidates."""
-        self.left = [each for each in self.left if now_s - each.at_s < LISTED_S]
+        self.ended = [each for each in self.ended if now_s - each.at_s < UNLISTED_CANDIDATE_S]
 
     @property
-    def is_blank(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether nothing is left to remember."""
-        return not (self.open or self.left)
+        return not (self.open or self.ended)
 
 
 @attrs.define
@@ -136,18 +136,20 @@
     ()
     """
 
-    _lives: dict[str, _Life] = attrs.field(factory=dict)
+    _incarnations: dict[str, _Incarnation] = attrs.field(factory=dict)
     _ended_at_s: dict[str, float] = attrs.field(factory=dict)
     _leaving: dict[str, bool] = attrs.field(factory=dict)
     """Whether each incarnation of the last list was shutting down."""
 
-    def begin(self, life: str, request: Named, attempt: attempts.Attempt) -> None:
+    def begin(self, incarnation: str, request: Named, attempt: attempts.Attempt) -> None:
         """Record that a request is about to be sent."""
-        self._lives.setdefault(life, _Life()).open[id(attempt)] = _Open(request, attempt)
+        self._incarnations.setdefault(incarnation, _Incarnation()).open[id(attempt)] = _OpenAttempt(
+            request, attempt
+        )
 
     def end(
         self,
-        life: str,
+        incarnation: str,
         request: Named,
         attempt: attempts.Attempt,
         ending: Ending,
@@ -157,66 +159,67 @@
 
         A complete success also clears earlier candidates, and a crash that was concluded wrongly.
         """
-        known = self._lives.setdefault(life, _Life())
+        known = self._incarnations.setdefault(incarnation, _Incarnation())
         under_way = known.open.pop(id(attempt), None)
         request = under_way.request if under_way else request
         if ending is Ending.SURVIVED:
             # The refused connection was no crash then: a cut link can refuse connections too.
-            self._ended_at_s.pop(life, None)
+            self._ended_at_s.pop(incarnation, None)
             known.survived(now_s)
-        in_doubt = ending in (Ending.BROKE, Ending.CLOSED, Ending.GIVEN_UP)
-        if in_doubt and life not in self._ended_at_s:
-            known.left.append(_Left(request, ending, now_s))
-        if known.is_blank:
-            del self._lives[life]
+        is_candidate = ending in (Ending.BROKE, Ending.CLOSED, Ending.GIVEN_UP)
+        if is_candidate and incarnation not in self._ended_at_s:
+            known.ended.append(_EndedAttempt(request, ending, now_s))
+        if known.is_empty:
+            del self._incarnations[incarnation]
 
-    def writes(self, life: str, attempt: attempts.Attempt) -> None:
+    def writes(self, incarnation: str, attempt: attempts.Attempt) -> None:
         """Clear the parts of a request's prompt: its response has continued for too long for any of
         them to crash the endpoint.
         """
-        known = self._lives.get(life)
+        known = self._incarnations.get(incarnation)
         under_way = known.open.get(id(attempt)) if known else None
         if known is not None and under_way is not None:
             request = attrs.evolve(under_way.request, parts=())
             known.open[id(attempt)] = attrs.evolve(under_way, request=request)
 
-    def has_ended(self, life: str) -> bool:
+    def has_ended(self, incarnation: str) -> bool:
         """Tell whether the incarnation is known to have ended."""
-        return life in self._ended_at_s
+        return incarnation in self._ended_at_s
 
-    def answers(self, life: str, now_s: float) -> None:
+    def answers(self, incarnation: str, now_s: float) -> None:
         """Record that an incarnation's address accepts connections."""
-        if life in self._lives:
-            self._lives[life].answers_at_s = now_s
+        if incarnation in self._incarnations:
+            self._incarnations[incarnation].reachable_at_s = now_s
 
-    def lives_on(self, life: str, now_s: float) -> tuple[Named, ...]:
+    def lives_on(self, incarnation: str, now_s: float) -> tuple[Named, ...]:
         """Record that a response begins; return the requests that this proves complete.
 
         These are earlier responses that had no length and ended with their connection. A connection
         alone proves nothing, as another process may listen at the address: only a response of the
         incarnation itself does.
         """
-        known = self._lives.get(life)
-        if known is None or not known.left:
+        known = self._incarnations.get(incarnation)
+        if known is None or not known.ended:
             return ()
-        return known.take_closed(now_s - RECENT_S)
+        return known.pop_closed(now_s - RECENT_CANDIDATE_S)
 
     def broke_lately(self, fingerprint: str, now_s: float) -> tuple[str, ...]:
         """Return the incarnations where the request broke lately and the reason is unknown."""
         return tuple(
             name
-            for name, life in self._lives.items()
+            for name, incarnation in self._incarnations.items()
             if any(
-                each.request.fingerprint == fingerprint and _is_unclear(each, life, now_s)
-                for each in life.left
+                each.request.fingerprint == fingerprint
+                and _is_unexplained(each, incarnation, now_s)
+                for each in incarnation.ended
             )
         )
 
-    def ended(self, life: str, now_s: float) -> tuple[Named, ...]:
+    def ended(self, incarnation: str, now_s: float) -> tuple[Named, ...]:
         """Conclude that an incarnation ended as its address refuses connections; return the
         candidates.
         """
-        return self._conclude(life, now_s, RECENT_S)
+        return self._conclude(incarnation, now_s, RECENT_CANDIDATE_S)
 
     def keep(self, leaving: dict[str, bool], now_s: float) -> dict[str, tuple[Named, ...]]:
         """Take the listed incarnations and whether each is shutting down; return crash candidates.
@@ -225,45 +228,47 @@
         was shutting down ended as planned and has none.
         """
         found = {}
-        for life, was_leaving in self._leaving.items():
-            if life in leaving or life in self._ended_at_s:
+        for incarnation, was_leaving in self._leaving.items():
+            if incarnation in leaving or incarnation in self._ended_at_s:
                 continue
-            in_doubt = self._conclude(life, now_s, LISTED_S)
-            if in_doubt and not was_leaving:
-                found[life] = in_doubt
+            candidates = self._conclude(incarnation, now_s, UNLISTED_CANDIDATE_S)
+            if candidates and not was_leaving:
+                found[incarnation] = candidates
         self._leaving = dict(leaving)
         return found
 
     def forget(self, now_s: float) -> None:
         """Drop what is too old to matter."""
-        for name, life in list(self._lives.items()):
-            life.forget(now_s)
-            if life.is_blank:
-                del self._lives[name]
+        for name, incarnation in list(self._incarnations.items()):
+            incarnation.forget(now_s)
+            if incarnation.is_empty:
+                del self._incarnations[name]
         self._ended_at_s = {
-            life: at_s for life, at_s in self._ended_at_s.items() if now_s - at_s < _ENDED_KEPT_S
+            incarnation: at_s
+            for incarnation, at_s in self._ended_at_s.items()
+            if now_s - at_s < _ENDED_TTL_S
         }
 
-    def _conclude(self, life: str, now_s: float, within_s: float) -> tuple[Named, ...]:
+    def _conclude(self, incarnation: str, now_s: float, within_s: float) -> tuple[Named, ...]:
         """Record an incarnation's end; return its candidates of the last ``within_s``.
 
         Returns nothing if the end was recorded before.
         """
-        if life in self._ended_at_s:
+        if incarnation in self._ended_at_s:
             return ()
-        self._ended_at_s[life] = now_s
-        known = self._lives.get(life)
+        self._ended_at_s[incarnation] = now_s
+        known = self._incarnations.get(incarnation)
         if known is None:
             return ()
-        in_doubt = known.in_doubt(now_s - within_s)
-        known.left.clear()
-        return in_doubt
+        candidates = known.candidates(now_s - within_s)
+        known.ended.clear()
+        return candidates
 
 
-def _is_unclear(left: _Left, life: _Life, now_s: float) -> bool:
+def _is_unexplained(attempt: _EndedAttempt, incarnation: _Incarnation, now_s: float) -> bool:
     """Tell whether an attempt broke lately, and its address has accepted no connection since."""
-    broke = left.ending in (Ending.BROKE, Ending.CLOSED)
-    return broke and life.answers_at_s < left.at_s > now_s - RECENT_S
+    broke = attempt.ending in (Ending.BROKE, Ending.CLOSED)
+    return broke and incarnation.reachable_at_s < attempt.at_s > now_s - RECENT_CANDIDATE_S
 
 
 _NOTHING: dict[str, float] = {}
@@ -288,7 +293,7 @@
             # Re-inserted so that the latest comes last.
             of_pool.pop(each, None)
             of_pool[each] = now_s
-        while len(of_pool) > _MOST_SURVIVED:
+        while len(of_pool) > _MAX_SURVIVED_PARTS:
             del of_pool[next(iter(of_pool))]
 
     def since(self, part: str, pools: Iterable[str], since_s: float) -> bool:
--- a/src/croftpulley/core/event_cut.py
+++ b/src/croftpulley/core/event_cut.py
@@ -19,16 +19,16 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.last_id = ""
 
     def feed(self, data: bytes) -> bytes:
         """Add bytes; return the events that are complete now."""
-        self._rest += data
-        ends = [match.end() for match in _EVENT_END.finditer(self._rest)]
+        self._buffer += data
+        ends = [match.end() for match in _EVENT_END.finditer(self._buffer)]
         if not ends:
             return b""
-        whole, self._rest = self._rest[: ends[-1]], self._rest[ends[-1] :]
+        whole, self._buffer = self._buffer[: ends[-1]], self._buffer[ends[-1] :]
         ids = _ID_LINE.findall(whole)
         if ids:
             self.last_id = ids[-1].decode("latin-1").strip()
@@ -37,8 +37,8 @@
     @property
     def is_between_events(self) -> bool:
         """Tell whether the stream may end here: no partial event is buffered."""
-        return not self._rest.strip()
+        return not self._buffer.strip()
 
     def drop_partial(self) -> None:
         """Drop a partial event, before the stream continues from another source."""
-        self._rest = b""
+        self._buffer = b""
--- a/src/croftpulley/core/fingerprints.py
+++ b/src/croftpulley/core/fingerprints.py
@@ -20,10 +20,10 @@
 messages, of which a control leader may hold thousands."""
 _LENGTH_BYTES = 8
 _PART_PREFIX = "part-"
-_LONGEST_NAME = 64
+_MAX_NAME_LENGTH = 64
 """Longest part name, as chosen by callers, that is used as it is; a longer one is replaced by its
 digest."""
-_MOST_NAMES = 8192
+_NAME_CACHE_SIZE = 8192
 """Cache size, so that recurring parts are named by one look-up."""
 
 
@@ -42,19 +42,19 @@
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     name = host.lower().partition(":")[0]
-    for part in (workspace, method, name, target):
-        _add(digest, part.encode())
-    _add(digest, body)
+    for component in (workspace, method, name, target):
+        _hash_component(digest, component.encode())
+    _hash_component(digest, body)
     return digest.hexdigest()
 
 
-def _add(digest: hashlib.blake2b, part: bytes) -> None:
+def _hash_component(digest: hashlib.blake2b, component: bytes) -> None:
     """Hash a component with its length."""
-    digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
-    digest.update(part)
+    digest.update(len(component).to_bytes(_LENGTH_BYTES, "big"))
+    digest.update(component)
 
 
-@functools.lru_cache(maxsize=_MOST_NAMES)
+@functools.lru_cache(maxsize=_NAME_CACHE_SIZE)
 def of_part(part: str) -> str:
     """Return the feature name of a prompt part.
 
@@ -64,7 +64,7 @@
     ('part-91bd3f06', False, True)
     """
     name = part.lower()
-    if len(name) > _LONGEST_NAME or not (name.isascii() and name.isalnum()):
+    if len(name) > _MAX_NAME_LENGTH or not (name.isascii() and name.isalnum()):
         name = hashlib.blake2b(name.encode(), digest_size=_DIGEST_BYTES).hexdigest()
     return _PART_PREFIX + name
 
--- a/src/croftpulley/core/outcomes.py
+++ b/src/croftpulley/core/outcomes.py
@@ -14,16 +14,16 @@
 
 HALF_LIFE_S = 2.0
 """Half-life of a request's weight: a decision rests on the last few seconds."""
-LEAST_FAILURES = 2.5
+MIN_FAILURES = 2.5
 """Weight of failures below which no endpoint is held off: three failures within a second or so."""
-LEAST_EXCESS = 0.2
+MIN_EXCESS = 0.2
 """How far an endpoint's failure rate must exceed twice that of its peers. The users' services fail
 up to 0.05 of all their requests on a quiet day, and a failing endpoint 0.4 of them."""
 FIRST_HOLD_S = 3.0
 """Length of the first hold; it doubles each time the endpoint fails again soon."""
-LONGEST_HOLD_S = 12.0
+MAX_HOLD_S = 12.0
 """Longest hold. According to the users' documents, such failures last five seconds or so."""
-FORGET_S = 20.0
+HOLD_RESET_S = 20.0
 """After this long without a new hold, the next one is as short as the first."""
 
 Counts = Mapping[str, tuple[int, int]]
@@ -34,7 +34,7 @@
 class _Record:
     """Decayed outcome counts of one endpoint, and its current or last hold."""
 
-    ended_well: float = 0.0
+    succeeded: float = 0.0
     failed: float = 0.0
     at_s: float = 0.0
     held_until_s: float = float("-inf")
@@ -42,18 +42,18 @@
 
     def decay(self, now_s: float) -> None:
         """Reduce the weight of earlier outcomes to that at ``now_s``."""
-        part = 0.5 ** ((now_s - self.at_s) / HALF_LIFE_S)
-        self.ended_well *= part
-        self.failed *= part
+        factor = 0.5 ** ((now_s - self.at_s) / HALF_LIFE_S)
+        self.succeeded *= factor
+        self.failed *= factor
         self.at_s = now_s
 
     @property
     def total(self) -> float:
-        return self.ended_well + self.failed
+        return self.succeeded + self.failed
 
 
 @attrs.frozen
-class Judgement:
+class Hold:
     """A hold that starts now, with the figures behind it."""
 
     endpoint: str
@@ -79,18 +79,18 @@
 
     def add(self, counts: Counts, now_s: float) -> None:
         """Add a router's report; outcomes at an endpoint that is held off count too."""
-        for endpoint, (ended_well, failed) in counts.items():
+        for endpoint, (succeeded, failed) in counts.items():
             record = self._records.setdefault(endpoint, _Record(at_s=now_s))
             record.decay(now_s)
-            record.ended_well += ended_well
+            record.succeeded += succeeded
             record.failed += failed
 
-    def judge(self, pools: Iterable[tuple[str, ...]], now_s: float) -> list[Judgement]:
+    def judge(self, pools: Iterable[tuple[str, ...]], now_s: float) -> list[Hold]:
         """Hold off endpoints that fail more than their peers; return the new holds.
 
         Never more than half of a pool is held off at once.
         """
-        made = []
+        holds = []
         for pool in pools:
             records = {name: self._records[name] for name in pool if name in self._records}
             for record in records.values():
@@ -99,13 +99,13 @@
             for name, record in records.items():
                 if held + 1 > len(pool) / 2 or record.held_until_s > now_s:
                     continue
-                peers_share = _share_of_others(name, records)
+                peers_share = _failure_rate_of_others(name, records)
                 if _fails_more(record, peers_share):
                     failed, total = record.failed, record.total
-                    _hold(record, now_s)
+                    _start_hold(record, now_s)
                     held += 1
-                    made.append(Judgement(name, failed, total, peers_share, record.hold_s))
-        return made
+                    holds.append(Hold(name, failed, total, peers_share, record.hold_s))
+        return holds
 
     def held(self, now_s: float) -> tuple[str, ...]:
         """Return the endpoints that are held off now, sorted."""
@@ -119,7 +119,7 @@
             del self._records[name]
 
 
-def _share_of_others(name: str, pool: Mapping[str, _Record]) -> float:
+def _failure_rate_of_others(name: str, pool: Mapping[str, _Record]) -> float:
     """Return the failure rate of a pool without one of its endpoints."""
     others = [each for other, each in pool.items() if other != name]
     total = sum(each.total for each in others)
@@ -128,16 +128,16 @@
 
 def _fails_more(record: _Record, peers_share: float) -> bool:
     """Tell whether an endpoint fails clearly more often than its peers."""
-    if record.failed < LEAST_FAILURES:
+    if record.failed < MIN_FAILURES:
         return False
-    return record.failed / record.total >= LEAST_EXCESS + 2 * peers_share
+    return record.failed / record.total >= MIN_EXCESS + 2 * peers_share
 
 
-def _hold(record: _Record, now_s: float) -> None:
+def _start_hold(record: _Record, now_s: float) -> None:
     """Start a hold, twice as long as the last one if that was recent."""
-    if now_s - record.held_until_s > FORGET_S:
+    if now_s - record.held_until_s > HOLD_RESET_S:
         record.hold_s = FIRST_HOLD_S / 2
-    record.hold_s = min(LONGEST_HOLD_S, 2 * record.hold_s)
+    record.hold_s = min(MAX_HOLD_S, 2 * record.hold_s)
     record.held_until_s = now_s + record.hold_s
     # Only new requests count after the hold.
-    record.ended_well = record.failed = 0.0
+    record.succeeded = record.failed = 0.0
--- a/src/croftpulley/core/records.py
+++ b/src/croftpulley/core/records.py
@@ -23,7 +23,7 @@
 
     in_flight: int = 0
     reading_tokens: int = 0
-    trust: trust.Trust = attrs.field(factory=trust.Trust)
+    trust: trust.FailureBackoff = attrs.field(factory=trust.FailureBackoff)
     ended_well: int = 0
     ended_badly: int = 0
     withdrawal: withdrawal.Withdrawal = attrs.field(factory=withdrawal.Withdrawal)
@@ -33,7 +33,7 @@
 
     def told_present(self, now_s: float) -> int:
         """Return the endpoint's reported number of requests, 0 without a fresh report."""
-        if self.told is None or now_s >= self.told_at_s + told_load.FRESH_S:
+        if self.told is None or now_s >= self.told_at_s + told_load.REPORT_TTL_S:
             return 0
         return self.told.present
 
@@ -83,12 +83,12 @@
         self._records = {
             key: each if key in keys else Record(withdrawal=each.withdrawal)
             for key, each in self._records.items()
-            if key in keys or each.withdrawal.outlasts_list(now_s)
+            if key in keys or each.withdrawal.outlives_listing(now_s)
         }
         self._places.keep(keys)
         self._new_notes = [note for note in self._new_notes if note.engine in keys]
 
-    def is_life(self, key: str) -> bool:
+    def may_be_listed(self, key: str) -> bool:
         """Tell whether a key is listed, or no list has arrived yet."""
         return self._listed is None or key in self._listed
 
@@ -100,7 +100,7 @@
         """Apply ``change`` to the record of a listed incarnation; drop it if it is blank
         afterwards.
         """
-        if not self.is_life(key):
+        if not self.may_be_listed(key):
             return
         record = self._records.setdefault(key, Record())
         change(record)
@@ -137,7 +137,7 @@
 
     def hear_load(self, key: str, told: told_load.ToldLoad, now_s: float) -> None:
         """Store the load that a listed endpoint reports."""
-        if self.is_life(key):
+        if self.may_be_listed(key):
             record = self._records.setdefault(key, Record())
             record.told = told
             record.told_at_s = now_s
@@ -150,18 +150,18 @@
 
     def end_rests(self, now_s: float) -> list[withdrawal.Ended]:
         """Remove expired rests, windows, load reports and records; return the rests."""
-        over = []
+        expired = []
         for key, record in list(self._records.items()):
             record.window.forget(now_s)
-            if now_s >= record.told_at_s + told_load.FRESH_S:
+            if now_s >= record.told_at_s + told_load.REPORT_TTL_S:
                 record.told = None
             ended = record.withdrawal.end_rest(now_s)
             if ended is not None:
-                over.append(withdrawal.Ended(key, *ended))
-            is_kept = self.is_life(key) or record.withdrawal.outlasts_list(now_s)
+                expired.append(withdrawal.Ended(key, *ended))
+            is_kept = self.may_be_listed(key) or record.withdrawal.outlives_listing(now_s)
             if record.is_blank or not is_kept:
                 del self._records[key]
-        return over
+        return expired
 
     def withdrawn(self, now_s: float) -> dict[str, withdrawal.Withdrawal]:
         """Return copies of the withdrawals in effect, by key."""
@@ -182,7 +182,7 @@
 
     def note(self, note: places.Note, now_s: float) -> bool:
         """Store where a prompt part is cached; return whether other boxes should learn of it."""
-        return self.is_life(note.engine) and self._places.note(note, now_s)
+        return self.may_be_listed(note.engine) and self._places.note(note, now_s)
 
     def note_own(self, note: places.Note, now_s: float) -> None:
         """Store a note of this box, and queue it for the other boxes if it is new."""
@@ -196,7 +196,7 @@
 
     def give_back_notes(self, notes: places.Notes) -> None:
         """Queue undelivered notes again, without those of unlisted incarnations."""
-        returned = [note for note in places.each_note(notes) if self.is_life(note.engine)]
+        returned = [note for note in places.each_note(notes) if self.may_be_listed(note.engine)]
         self._new_notes = [*returned, *self._new_notes]
 
     def holders(self, part: str, now_s: float) -> list[str]:
--- a/src/croftpulley/core/returns.py
+++ b/src/croftpulley/core/returns.py
@@ -12,8 +12,8 @@
 HONOURED = 1 / 3
 """Largest share of its remaining time that a caller waits before a retry, as the users' callers do.
 One that retries later has too little time left to be served."""
-_RANKS = 10
-_CHANCES = 1 << 64
+_URGENCY_LEVELS = 10
+_HASH_RANGE = 1 << 64
 
 
 def chance(name: str) -> float:
@@ -22,7 +22,7 @@
     >>> 0 <= chance("a") < 1, chance("a") == chance("a"), chance("a") == chance("b")
     (True, True, False)
     """
-    return xxhash.xxh64_intdigest(name.encode()) / _CHANCES
+    return xxhash.xxh64_intdigest(name.encode()) / _HASH_RANGE
 
 
 def place(urgency: int, chance: float) -> float:
@@ -33,7 +33,7 @@
     >>> place(0, 0.5), place(9, 0.5)
     (0.05, 0.95)
     """
-    return (urgency + chance) / _RANKS
+    return (urgency + chance) / _URGENCY_LEVELS
 
 
 def wait_s(opens_in_s: float, left_s: float, spread: float, position: float) -> float:
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -28,14 +28,14 @@
 
 from croftpulley.core import bulletins, fingerprints, suspect_messages, suspect_rules
 
-MOST_SUSPECTS = 2048
+MAX_SUSPECTS = 2048
 """Limits memory (1.5 MB per control box and 0.4 MB per router, with three crashes each) and what a
 restarted router receives (129 kB)."""
-MOST_REMOVED = 512
+MAX_REMOVALS = 512
 """Most removals kept for incremental updates; a router that is further behind gets everything."""
 
 
-_ANYBODY = suspect_messages.Asker()
+_ANONYMOUS_ASKER = suspect_messages.Asker()
 
 
 @attrs.define
@@ -58,7 +58,7 @@
 
     bulletin: bulletins.Bulletin = attrs.field(factory=bulletins.Bulletin)
     _by_fingerprint: dict[str, suspect_rules.Suspect] = attrs.field(factory=dict)
-    _told: dict[str, bulletins.Entry] = attrs.field(factory=dict)
+    _published: dict[str, bulletins.Entry] = attrs.field(factory=dict)
     _removals: collections.deque[bulletins.Removal] = attrs.field(factory=collections.deque)
     _from_revision: int = 0
     _revision: int = 0
@@ -69,8 +69,8 @@
         made = cls(revision=revision, from_revision=revision)
         for each in suspects:
             made._by_fingerprint[each.fingerprint] = each
-            if each.is_told:
-                made._told[each.fingerprint] = bulletins.Entry(revision, each)
+            if each.is_published:
+                made._published[each.fingerprint] = bulletins.Entry(revision, each)
         made._publish()
         return made
 
@@ -85,8 +85,8 @@
 
     def known(self, names: tuple[str, ...]) -> tuple[str, ...]:
         """Return ``names`` without the prompt parts that no crash is known for; thread-safe."""
-        told = {each.suspect.fingerprint for each in self.bulletin.entries}
-        return tuple(each for each in names if each in told or not fingerprints.is_part(each))
+        published = {each.suspect.fingerprint for each in self.bulletin.entries}
+        return tuple(each for each in names if each in published or not fingerprints.is_part(each))
 
     def report(
         self, report: suspect_messages.Report, at_wall_s: float
@@ -103,7 +103,7 @@
             self._end_trial(end)
         for fingerprint in report.cleared:
             self._remove(fingerprint)
-        self._forget(at_wall_s)
+        self._evict(at_wall_s)
         self._publish()
         return tuple(each for each in changed.values() if each.is_suspect)
 
@@ -113,7 +113,7 @@
         trial: str,
         limit_s: float,
         at_wall_s: float,
-        asker: suspect_messages.Asker = _ANYBODY,
+        asker: suspect_messages.Asker = _ANONYMOUS_ASKER,
     ) -> suspect_messages.TrialAnswer:
         """Grant a trial of at most ``limit_s`` if the feature may be tried now.
 
@@ -136,7 +136,7 @@
         fingerprint: str,
         trial: str,
         at_wall_s: float,
-        asker: suspect_messages.Asker = _ANYBODY,
+        asker: suspect_messages.Asker = _ANONYMOUS_ASKER,
     ) -> suspect_messages.TrialAnswer:
         """Return what `begin_trial` would, without any change; thread-safe.
 
@@ -151,10 +151,10 @@
             return suspect_messages.TrialAnswer(
                 suspect_messages.Verdict.BUSY, known.crashes, known.trial_until_wall_s - at_wall_s
             )
-        rests_s = known.rests_until_wall_s - at_wall_s
-        if rests_s > 0 and not known.has_own_trial(asker):
+        cooldown_s = known.cooldown_until_wall_s - at_wall_s
+        if cooldown_s > 0 and not known.has_own_trial(asker):
             return suspect_messages.TrialAnswer(
-                suspect_messages.Verdict.REFUSED, known.crashes, rests_s
+                suspect_messages.Verdict.REFUSED, known.crashes, cooldown_s
             )
         return suspect_messages.TrialAnswer(suspect_messages.Verdict.GRANTED, known.crashes)
 
@@ -169,7 +169,7 @@
         """End a trial if it is the one under way."""
         known = self._by_fingerprint.get(end.fingerprint)
         if known is not None and known.trial == end.trial:
-            self._set(known.trial_over(end.was_sent))
+            self._set(known.trial_ended(end.was_sent))
 
     def _set(self, suspect: suspect_rules.Suspect) -> None:
         """Store a suspect as the most recently changed, and publish it if routers need it."""
@@ -177,33 +177,33 @@
         # Re-inserted so that the latest change comes last.
         self._by_fingerprint.pop(name, None)
         self._by_fingerprint[name] = suspect
-        if suspect.is_told:
+        if suspect.is_published:
             self._revision += 1
-            self._told.pop(name, None)
-            self._told[name] = bulletins.Entry(self._revision, suspect)
+            self._published.pop(name, None)
+            self._published[name] = bulletins.Entry(self._revision, suspect)
 
     def _remove(self, fingerprint: str) -> None:
         """Remove a feature, and record the removal if routers know of it."""
         self._by_fingerprint.pop(fingerprint, None)
-        if self._told.pop(fingerprint, None) is None:
+        if self._published.pop(fingerprint, None) is None:
             return
         self._revision += 1
         self._removals.append(bulletins.Removal(self._revision, fingerprint))
-        if len(self._removals) > MOST_REMOVED:
+        if len(self._removals) > MAX_REMOVALS:
             self._from_revision = self._removals.popleft().revision
 
-    def _forget(self, at_wall_s: float) -> None:
+    def _evict(self, at_wall_s: float) -> None:
         """Remove expired suspects, then those above the limit."""
         for each in list(self._by_fingerprint.values()):
-            if at_wall_s - each.last_crash_wall_s < suspect_rules.KEPT_S:
+            if at_wall_s - each.last_crash_wall_s < suspect_rules.SUSPECT_TTL_S:
                 break
             self._remove(each.fingerprint)
-        excess = len(self._by_fingerprint) - MOST_SUSPECTS
+        excess = len(self._by_fingerprint) - MAX_SUSPECTS
         if excess > 0:
-            for fingerprint in self._least_missed(excess):
+            for fingerprint in self._features_to_evict(excess):
                 self._remove(fingerprint)
 
-    def _least_missed(self, count: int) -> list[str]:
+    def _features_to_evict(self, count: int) -> list[str]:
         """Return the features to evict first, so that no workspace evicts those of another.
 
         They are taken one by one from the workspace that has most at that time: those with fewest
@@ -216,11 +216,11 @@
             # The sort is stable; features are popped from the end.
             kept.sort(key=lambda each: each.crashes)
             kept.reverse()
-        gone = []
+        evicted = []
         for _ in range(count):
             largest = max(by_workspace.values(), key=len)
-            gone.append(largest.pop().fingerprint)
-        return gone
+            evicted.append(largest.pop().fingerprint)
+        return evicted
 
     def _publish(self) -> None:
         """Replace the bulletin if anything in it changed."""
@@ -228,6 +228,6 @@
             self.bulletin = bulletins.Bulletin(
                 self._revision,
                 self._from_revision,
-                tuple(self._told.values()),
+                tuple(self._published.values()),
                 tuple(self._removals),
             )
--- a/src/croftpulley/core/told_load.py
+++ b/src/croftpulley/core/told_load.py
@@ -12,11 +12,11 @@
 
 import attrs
 
-FRESH_S = 0.25
+REPORT_TTL_S = 0.25
 """How long a report is used: boxes exchange their loads four times a second."""
-USUAL_PERCENT = 100
+USUAL_TIME_PERCENT = 100
 """``time_percent`` of an endpoint where work takes as long as usual."""
-_MOST = 1_000_000
+_MAX_COUNT = 1_000_000
 """Larger numbers of requests or slots are not plausible."""
 _FIELDS = re.compile(r"(\d{1,7}),(\d{1,7}),(\d{1,7})(?:,(\d{1,7}))?", re.ASCII).fullmatch
 
@@ -59,6 +59,6 @@
         return None
     running, waiting, slots = (int(each) for each in match.group(1, 2, 3))
     percent = match[4] and int(match[4])
-    if max(running, waiting, slots) > _MOST or not slots or percent == 0:
+    if max(running, waiting, slots) > _MAX_COUNT or not slots or percent == 0:
         return None
     return ToldLoad(running=running, waiting=waiting, slots=slots, time_percent=percent or None)
--- a/src/croftpulley/core/trust.py
+++ b/src/croftpulley/core/trust.py
@@ -4,26 +4,26 @@
 
 import attrs
 
-FIRST_AVOID_S = 0.5
+FIRST_BACKOFF_S = 0.5
 """Back-off after a first failure: long enough for a restart to show, and short enough to cost
 little."""
-LONGEST_AVOID_S = 4.0
+MAX_BACKOFF_S = 4.0
 """Longest back-off. It is below the users' drain and reuse limits, so that a recovered endpoint is
 soon tried again."""
-GONE_AVOID_S = 10.0
+REUSED_ADDRESS_BACKOFF_S = 10.0
 """Back-off if another incarnation has the address: the list catches up within its lag."""
 
 
 @attrs.define
-class Trust:
+class FailureBackoff:
     """Failures and back-off of one endpoint.
 
-    >>> trust = Trust()
-    >>> trust.failed(0.0); trust.avoid_until_s
+    >>> backoff = FailureBackoff()
+    >>> backoff.failed(0.0); backoff.avoid_until_s
     0.5
-    >>> trust.failed(0.6); trust.avoid_until_s
+    >>> backoff.failed(0.6); backoff.avoid_until_s
     1.6
-    >>> trust.answered(); trust.avoid_until_s
+    >>> backoff.answered(); backoff.avoid_until_s
     -inf
     """
 
@@ -42,13 +42,13 @@
         # Concurrent requests fail together and count as one failure.
         if now_s < self.avoid_until_s:
             return
-        wait_s = min(LONGEST_AVOID_S, FIRST_AVOID_S * 2.0**self.failures)
+        wait_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0**self.failures)
         self.failures += 1
         self.avoid_until_s = now_s + wait_s
 
     def gone(self, now_s: float) -> None:
         """Record that another incarnation has the address."""
-        self.avoid_until_s = now_s + GONE_AVOID_S
+        self.avoid_until_s = now_s + REUSED_ADDRESS_BACKOFF_S
 
     def stay_away(self, until_s: float) -> None:
         """Send nothing until then, whatever else happens at the endpoint."""
--- a/src/croftpulley/core/window.py
+++ b/src/croftpulley/core/window.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-_KEPT = 0.7
+_DECREASE_FACTOR = 0.7
 """Decrease factor on a rejection. Half leaves endpoints idle whose requests take seconds; nearly
 all fills them again at once."""
 FORGOTTEN_S = 10.0
@@ -46,7 +46,7 @@
 
         Call it once per rest: concurrent requests are rejected together.
         """
-        self.size = max(1.0, _KEPT * in_flight)
+        self.size = max(1.0, _DECREASE_FACTOR * in_flight)
         self.turned_away_at_s = now_s
 
     def accepted(self) -> None:
--- a/src/croftpulley/core/withdrawal.py
+++ b/src/croftpulley/core/withdrawal.py
@@ -16,16 +16,16 @@
 
 from croftpulley.core import verdicts
 
-LONGEST_REST_S = 3600.0
+MAX_REST_S = 3600.0
 """Longer rests are cut to this length: no endpoint plans its load further ahead, and a box has to
 remember the rest for as long."""
 LEAVING_KEPT_S = 3600.0
 """How long an announced shutdown is remembered after the incarnation left the list, in case it is
 listed again: far longer than endpoints take to shut down."""
-_ASKS_FOR_REST = 503
+_REST_STATUS = 503
 """Status that rejects a request for lack of room; with other statuses Retry-After has another
 meaning (RFC 9110, section 10.2.3)."""
-_LEAVES = "1"
+_LEAVING_VALUE = "1"
 _SECONDS = re.compile(r"[0-9]{1,400}(?:\.[0-9]{1,400})?", re.ASCII).fullmatch
 
 
@@ -68,7 +68,7 @@
         return NOTHING
     unusable = []
     rest_s = 0.0
-    for value in retry_after if status == _ASKS_FOR_REST else ():
+    for value in retry_after if status == _REST_STATUS else ():
         asked_s = parse_retry_after(value, date, wall_s)
         if asked_s is None:
             unusable.append(value)
@@ -76,7 +76,7 @@
             rest_s = max(rest_s, asked_s)
     leaves = False
     for value in leaving:
-        if value.strip() == _LEAVES:
+        if value.strip() == _LEAVING_VALUE:
             leaves = True
         else:
             unusable.append(value)
@@ -97,13 +97,13 @@
     """
     text = value.strip()
     if _SECONDS(text):
-        return min(float(text), LONGEST_REST_S)
+        return min(float(text), MAX_REST_S)
     until_s = _unix_s(text)
     if until_s is None:
         return None
     made_s = _unix_s(date.strip())
     left_s = until_s - (wall_s if made_s is None else made_s)
-    return min(max(0.0, left_s), LONGEST_REST_S)
+    return min(max(0.0, left_s), MAX_REST_S)
 
 
 def _unix_s(text: str) -> float | None:
@@ -157,7 +157,7 @@
     heard_at_s: float = float("-inf")
     sent_since: int = 0
     """Requests that were already on their way out when it asked for rest, and were sent."""
-    says_unusable: bool = False
+    has_sent_unusable: bool = False
 
     @property
     def until_s(self) -> float:
@@ -167,13 +167,13 @@
     @property
     def is_blank(self) -> bool:
         """Tell whether no announcement applies."""
-        return self.until_s == float("-inf") and not self.says_unusable
+        return self.until_s == float("-inf") and not self.has_sent_unusable
 
     def binds(self, now_s: float) -> bool:
         """Tell whether it takes no requests now."""
         return now_s < self.until_s
 
-    def outlasts_list(self, now_s: float) -> bool:
+    def outlives_listing(self, now_s: float) -> bool:
         """Tell whether it must be kept although its endpoint is not listed."""
         return now_s < max(self.rest_until_s, self.heard_at_s + LEAVING_KEPT_S * self.leaves)
 
@@ -183,7 +183,7 @@
         heard = Heard(
             rests=until_s > self.rest_until_s,
             leaves=notice.leaves and not self.leaves,
-            is_unusable=bool(notice.unusable) and not self.says_unusable,
+            is_unusable=bool(notice.unusable) and not self.has_sent_unusable,
         )
         if heard.rests:
             if now_s >= self.rest_until_s:
@@ -192,7 +192,7 @@
             self.rest_until_s = until_s
         self.leaves = self.leaves or notice.leaves
         self.heard_at_s = now_s
-        self.says_unusable = self.says_unusable or heard.is_unusable
+        self.has_sent_unusable = self.has_sent_unusable or heard.is_unusable
         return heard
 
     def end_rest(self, now_s: float) -> tuple[float, int] | None:
--- a/testing/core/test_attempts.py
+++ b/testing/core/test_attempts.py
@@ -23,7 +23,7 @@
     assert attempt.run_state is state
 
 
-def test_an_attempt_never_goes_back():
+def test_a_phase_never_reverts():
     attempt = attempts.Attempt(1, "engine")
     attempt.enter(attempts.Phase.SENT)
     attempt.enter(attempts.Phase.ANSWERING)
@@ -33,15 +33,15 @@
     assert attempt.phase is attempts.Phase.ANSWERING
 
 
-def test_the_box_that_carries_an_attempt_out_knows_whether_the_engine_saw_it():
-    # An engine that refused the owner's connection was told to the caller as unknown.
+def test_the_phase_reported_by_the_forwarding_box_replaces_sent():
+    # Without this the caller got "unknown" when the engine refused the connection of the owner box.
     attempt = attempts.Attempt(1, "engine")
     attempt.enter(attempts.Phase.SENT)
     attempt.adopt(attempts.Phase.UNSENT)
     assert attempt.run_state is codes.RunState.NOT_RUN
 
 
-def test_one_attempt_that_may_have_run_makes_the_request_unknown():
+def test_the_run_state_of_a_request_is_unknown_if_one_attempt_may_have_run():
     log = attempts.AttemptLog()
     log.begin("a")
     log.begin("b").enter(attempts.Phase.SENT)
--- a/testing/core/test_event_cut.py
+++ b/testing/core/test_event_cut.py
@@ -1,4 +1,4 @@
-"""Streams cut into whole events."""
+"""Event streams are split at event boundaries."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class TestEventCutter:
-    """Whole events only."""
+    """Only complete events are returned."""
 
     @given(st.lists(st.integers(1, 40), max_size=30))
-    def test_any_cut_into_pieces_gives_the_same_events(self, sizes):
+    def test_any_split_of_the_input_gives_the_same_events(self, sizes):
         stream = b"".join(b"id: %d\ndata: text %d\n\n" % (n, n) for n in range(20))
-        cutter = event_cut.EventCutter()
+        splitter = event_cut.EventCutter()
         out = b""
         start = 0
         for size in [*sizes, len(stream)]:
-            out += cutter.feed(stream[start : start + size])
+            out += splitter.feed(stream[start : start + size])
             start += size
         assert out == stream
-        assert cutter.last_id == "19"
-        assert cutter.is_between_events
+        assert splitter.last_id == "19"
+        assert splitter.is_between_events
 
-    def test_half_an_event_is_held_back(self):
-        cutter = event_cut.EventCutter()
-        assert cutter.feed(b"id: 1\ndata: x\n\nid: 2\nda") == b"id: 1\ndata: x\n\n"
-        assert not cutter.is_between_events
-        assert cutter.last_id == "1"
+    def test_a_partial_event_is_buffered(self):
+        splitter = event_cut.EventCutter()
+        assert splitter.feed(b"id: 1\ndata: x\n\nid: 2\nda") == b"id: 1\ndata: x\n\n"
+        assert not splitter.is_between_events
+        assert splitter.last_id == "1"
--- a/testing/core/test_outcomes.py
+++ b/testing/core/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail more than their peers are held off, and only those."""
+"""Outlier detection holds off endpoints that fail more than their peers, and only those."""
 
 from __future__ import annotations
 
@@ -12,73 +12,73 @@
 POOL = ("a", "b", "c")
 
 
-def judged(board, now_s, pool=POOL):
-    return [each.endpoint for each in board.judge([pool], now_s)]
+def new_holds(detector, now_s, pool=POOL):
+    return [each.endpoint for each in detector.judge([pool], now_s)]
 
 
-def traffic(board, chance, now_s, shares, requests=9):
-    """Report one second of requests to each endpoint; ``shares`` of them fail."""
+def traffic(detector, rng, now_s, shares, requests=9):
+    """Report one second of requests to each endpoint, with failure rates ``shares``."""
     for name, share in shares.items():
-        failed = sum(chance.random() < share for _ in range(requests))
-        board.add({name: (requests - failed, failed)}, now_s)
+        failed = sum(rng.random() < share for _ in range(requests))
+        detector.add({name: (requests - failed, failed)}, now_s)
 
 
 def test_an_endpoint_that_fails_two_of_five_is_held_off_within_two_seconds():
-    found = 0
+    detected = 0
     for seed in range(50):
-        board, chance = outcomes.Outcomes(), random.Random(seed)
+        detector, rng = outcomes.Outcomes(), random.Random(seed)
         for second in range(2):
-            traffic(board, chance, float(second), {"a": 0.4, "b": 0.05, "c": 0.05})
-            found += "a" in judged(board, float(second))
-    assert found >= 40, f"got {found} of 50"
+            traffic(detector, rng, float(second), {"a": 0.4, "b": 0.05, "c": 0.05})
+            detected += "a" in new_holds(detector, float(second))
+    assert detected >= 40, f"got {detected} of 50"
 
 
-def test_endpoints_that_fail_alike_are_left_alone():
+def test_endpoints_that_fail_equally_often_are_not_held_off():
     held = []
     for seed in range(50):
-        board, chance = outcomes.Outcomes(), random.Random(seed)
+        detector, rng = outcomes.Outcomes(), random.Random(seed)
         for second in range(30):
-            traffic(board, chance, float(second), dict.fromkeys(POOL, 0.05))
-            held += judged(board, float(second))
-    # A wrong judgement costs one endpoint of three for three seconds.
+            traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.05))
+            held += new_holds(detector, float(second))
+    # A few false positives are acceptable: each costs one endpoint of three for three seconds.
     assert len(held) <= 2, f"got {held}"
 
 
-def test_a_pool_that_fails_as_a_whole_is_left_alone():
-    board, chance = outcomes.Outcomes(), random.Random(1)
+def test_no_endpoint_is_held_off_if_the_whole_pool_fails():
+    detector, rng = outcomes.Outcomes(), random.Random(1)
     for second in range(20):
-        traffic(board, chance, float(second), dict.fromkeys(POOL, 0.5))
-        assert judged(board, float(second)) == []
+        traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.5))
+        assert new_holds(detector, float(second)) == []
 
 
-def test_after_a_hold_it_is_judged_by_new_requests_and_held_longer():
-    board = outcomes.Outcomes()
-    board.add({"a": (0, 5), "b": (9, 0)}, 0.0)
-    (first,) = board.judge([POOL], 0.0)
+def test_after_a_hold_only_new_requests_count_and_the_next_hold_is_longer():
+    detector = outcomes.Outcomes()
+    detector.add({"a": (0, 5), "b": (9, 0)}, 0.0)
+    (first,) = detector.judge([POOL], 0.0)
     after_s = first.hold_s + 0.1
-    assert judged(board, after_s) == []
-    assert board.held(after_s) == ()
-    board.add({"a": (0, 5), "b": (9, 0)}, after_s)
-    (second,) = board.judge([POOL], after_s)
+    assert new_holds(detector, after_s) == []
+    assert detector.held(after_s) == ()
+    detector.add({"a": (0, 5), "b": (9, 0)}, after_s)
+    (second,) = detector.judge([POOL], after_s)
     assert second.hold_s == 2 * first.hold_s
 
 
-def test_one_that_did_well_for_long_begins_anew():
-    board = outcomes.Outcomes()
-    board.add({"a": (0, 5)}, 0.0)
-    (first,) = board.judge([POOL], 0.0)
-    later_s = first.hold_s + outcomes.FORGET_S + 1.0
-    board.add({"a": (0, 5)}, later_s)
-    (second,) = board.judge([POOL], later_s)
+def test_the_hold_is_short_again_after_a_long_time_without_one():
+    detector = outcomes.Outcomes()
+    detector.add({"a": (0, 5)}, 0.0)
+    (first,) = detector.judge([POOL], 0.0)
+    later_s = first.hold_s + outcomes.HOLD_RESET_S + 1.0
+    detector.add({"a": (0, 5)}, later_s)
+    (second,) = detector.judge([POOL], later_s)
     assert second.hold_s == first.hold_s
 
 
-def test_what_is_listed_no_more_is_forgotten():
-    board = outcomes.Outcomes()
-    board.add({"a": (0, 5)}, 0.0)
-    board.judge([POOL], 0.0)
-    board.keep({"b"})
-    assert board.held(0.1) == ()
+def test_unlisted_endpoints_are_forgotten():
+    detector = outcomes.Outcomes()
+    detector.add({"a": (0, 5)}, 0.0)
+    detector.judge([POOL], 0.0)
+    detector.keep({"b"})
+    assert detector.held(0.1) == ()
 
 
 reports = st.lists(
@@ -88,11 +88,11 @@
 
 
 @given(reports)
-def test_never_more_than_half_of_a_pool_is_held_off(made):
-    board = outcomes.Outcomes()
+def test_never_more_than_half_of_a_pool_is_held_off(reported):
+    detector = outcomes.Outcomes()
     now_s = 0.0
-    for endpoint, ended_well, failed, pause_s in made:
+    for endpoint, succeeded, failed, pause_s in reported:
         now_s += pause_s
-        board.add({endpoint: (ended_well, failed)}, now_s)
-        board.judge([POOL], now_s)
-        assert len(board.held(now_s)) <= len(POOL) / 2
+        detector.add({endpoint: (succeeded, failed)}, now_s)
+        detector.judge([POOL], now_s)
+        assert len(detector.held(now_s)) <= len(POOL) / 2
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""What control boxes agree on of requests under which endpoints end."""
+"""The replicated state about requests that may crash endpoints."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def crash(state, fingerprint, *lives, at_s=0.0, workspace="clinic"):
-    """Report that endpoints ended under a request."""
+    """Report that endpoints crashed while they had a request."""
     crashes = tuple(suspect_messages.Crash(fingerprint, workspace, life) for life in lives)
     return state.apply(agreed.ReportSuspects(suspect_messages.Report(crashes=crashes), at_s))
 
@@ -34,8 +34,8 @@
     return state.apply(agreed.BeginTrial(fingerprint, trial, LIMIT_S, at_s, asker))
 
 
-def refuse(state, asker=CLINIC):
-    """Have a part be refused after two trials."""
+def make_refused(state, asker=CLINIC):
+    """Crash endpoints in two trials, so that the part is refused."""
     crash(state, PART, "e1", "e2")
     for trial, life in (("t1", "e3"), ("t2", "e4")):
         ask(state, PART, trial, asker=asker)
@@ -45,27 +45,27 @@
 
 def end(state, fingerprint, trial, at_s=0.0, *, was_sent=True):
     """Report that a trial is over."""
-    ends = (suspect_messages.TrialEnd(fingerprint, trial, was_sent),)
-    state.apply(agreed.ReportSuspects(suspect_messages.Report(trial_ends=ends), at_s))
+    trial_ends = (suspect_messages.TrialEnd(fingerprint, trial, was_sent),)
+    state.apply(agreed.ReportSuspects(suspect_messages.Report(trial_ends=trial_ends), at_s))
 
 
 def clear(state, *fingerprints, at_s=0.0):
-    """Report that requests were answered whole."""
+    """Report complete responses to requests."""
     state.apply(agreed.ReportSuspects(suspect_messages.Report(cleared=fingerprints), at_s))
 
 
-def told(state, revision=0, at_s=0.0):
-    """Return what a router is told."""
+def update_for(state, revision=0, at_s=0.0):
+    """Return the update that a router at ``revision`` receives."""
     return state.suspects.bulletin.since(revision, at_s)
 
 
-def test_one_end_says_nothing_and_is_not_told(state):
+def test_one_crash_makes_no_suspect_and_is_not_published(state):
     assert crash(state, "f", "e1") == ()
     assert ask(state, "f", "t").verdict is suspect_messages.Verdict.FREE
-    assert told(state) is None
+    assert update_for(state) is None
 
 
-def test_an_end_that_several_routers_report_counts_once(state):
+def test_a_crash_that_several_routers_report_counts_once(state):
     for _ in range(3):
         crash(state, "f", "e1")
     assert ask(state, "f", "t").verdict is suspect_messages.Verdict.FREE
@@ -81,21 +81,22 @@
     assert ask(state, "f", "t2").verdict is suspect_messages.Verdict.GRANTED
 
 
-def test_a_verdict_is_asked_while_the_log_is_applied(state):
-    # Threads that answer routers must not see a suspect between its removal and its return.
+def test_a_verdict_does_not_depend_on_state_being_changed(state):
+    # Threads that serve routers ask while the log is applied. They must not miss a suspect
+    # while its entry is being replaced.
     crash(state, "f", "e1", "e2")
     ask(state, "f", "t1")
     state.suspects._by_fingerprint.clear()
     assert state.suspects.verdict("f", "t2", 0.0).verdict is suspect_messages.Verdict.BUSY
 
 
-def test_a_trial_whose_router_says_nothing_more_ends_with_its_time(state):
+def test_a_trial_that_is_never_reported_as_ended_times_out(state):
     crash(state, "f", "e1", "e2")
     ask(state, "f", "t1", at_s=10.0)
     assert ask(state, "f", "t2", at_s=10.0 + LIMIT_S).verdict is suspect_messages.Verdict.GRANTED
 
 
-def test_one_whose_trials_end_endpoints_rests_and_is_then_tried_once_more(state):
+def test_after_two_trials_that_crash_there_is_a_cooldown_and_one_more_trial(state):
     crash(state, "f", "e1", "e2")
     for trial, life in (("t1", "e3"), ("t2", "e4")):
         assert ask(state, "f", trial).verdict is suspect_messages.Verdict.GRANTED
@@ -105,31 +106,31 @@
     assert refused == suspect_messages.TrialAnswer(
         suspect_messages.Verdict.REFUSED, 4, suspect_rules.REST_S - 1.0
     )
-    assert told(state, at_s=2.0).suspects == (
+    assert update_for(state, at_s=2.0).suspects == (
         suspect_messages.Told("f", 4, suspect_rules.REST_S - 1.0),
     )
-    rested_s = 1.0 + suspect_rules.REST_S
-    assert ask(state, "f", "t3", at_s=rested_s).verdict is suspect_messages.Verdict.GRANTED
-    end(state, "f", "t3", at_s=rested_s)
-    later_s = rested_s + suspect_rules.REST_S
+    cooled_down_s = 1.0 + suspect_rules.REST_S
+    assert ask(state, "f", "t3", at_s=cooled_down_s).verdict is suspect_messages.Verdict.GRANTED
+    end(state, "f", "t3", at_s=cooled_down_s)
+    later_s = cooled_down_s + suspect_rules.REST_S
     assert ask(state, "f", "t4", at_s=later_s).verdict is suspect_messages.Verdict.REFUSED
 
 
-def test_a_trial_counts_although_nothing_is_heard_of_it_again(state):
-    # Its router may have been killed with what it met.
+def test_a_trial_counts_even_if_its_end_is_never_reported(state):
+    # The router may be killed before it reports.
     crash(state, "f", "e1", "e2")
-    for number in range(suspect_rules.MOST_TRIALS):
+    for number in range(suspect_rules.MAX_TRIALS):
         asked = ask(state, "f", f"t{number}", at_s=number * LIMIT_S)
         assert asked.verdict is suspect_messages.Verdict.GRANTED
-    late_s = suspect_rules.MOST_TRIALS * LIMIT_S
-    refused = ask(state, "f", "late", at_s=late_s)
+    after_last_s = suspect_rules.MAX_TRIALS * LIMIT_S
+    refused = ask(state, "f", "late", at_s=after_last_s)
     assert refused.verdict is suspect_messages.Verdict.REFUSED
-    assert refused.wait_s == suspect_rules.UNPROVEN_REST_S - LIMIT_S
+    assert refused.wait_s == suspect_rules.UNCONFIRMED_COOLDOWN_S - LIMIT_S
 
 
-@pytest.mark.parametrize(("ends", "trials"), [(2, 2), (3, 2), (4, 1), (5, 0), (9, 0)])
-def test_the_more_endpoints_ended_at_once_the_fewer_trials_there_are(state, ends, trials):
-    crash(state, "f", *(f"e{number}" for number in range(ends)))
+@pytest.mark.parametrize(("crash_count", "trials"), [(2, 2), (3, 2), (4, 1), (5, 0), (9, 0)])
+def test_more_simultaneous_crashes_leave_fewer_trials(state, crash_count, trials):
+    crash(state, "f", *(f"e{number}" for number in range(crash_count)))
     granted = 0
     for number in range(9):
         asked = ask(state, "f", f"t{number}")
@@ -138,7 +139,7 @@
     assert granted == trials
 
 
-def test_one_that_was_unlucky_three_times_is_cleared_by_a_whole_answer(state):
+def test_a_complete_response_clears_a_request_after_three_crashes(state):
     crash(state, "f", "e1", "e2")
     assert ask(state, "f", "t1").verdict is suspect_messages.Verdict.GRANTED
     crash(state, "f", "e3")
@@ -147,13 +148,13 @@
     known = state.suspects.revision
     clear(state, "f")
     assert ask(state, "f", "t3").verdict is suspect_messages.Verdict.FREE
-    assert told(state, known).removed == ("f",)
+    assert update_for(state, known).removed == ("f",)
 
 
 @pytest.mark.parametrize("repeats", [1, 2])
-def test_a_trial_that_reached_no_endpoint_does_not_count(state, repeats):
+def test_a_trial_that_was_never_sent_does_not_count(state, repeats):
     crash(state, "f", "e1", "e2", "e3")
-    for number in range(suspect_rules.MOST_TRIALS + 1):
+    for number in range(suspect_rules.MAX_TRIALS + 1):
         assert ask(state, "f", f"t{number}").verdict is suspect_messages.Verdict.GRANTED
         for _ in range(repeats):
             end(state, "f", f"t{number}", was_sent=False)
@@ -161,55 +162,55 @@
     assert known.trials == 0
 
 
-def test_thousands_of_different_ones_of_one_workspace_drive_out_no_other(state):
+def test_thousands_of_suspects_of_one_workspace_evict_none_of_another(state):
     crash(state, "theirs", "e1", "e2", "e3", workspace="shop")
-    for number in range(suspects.MOST_SUSPECTS + 200):
+    for number in range(suspects.MAX_SUSPECTS + 200):
         crash(state, f"f{number}", "e1", "e2", "e3", at_s=1.0)
-    assert len(state.suspects.all()) == suspects.MOST_SUSPECTS
+    assert len(state.suspects.all()) == suspects.MAX_SUSPECTS
     assert "theirs" in {each.fingerprint for each in state.suspects.all()}
 
 
-def test_those_under_which_fewest_endpoints_ended_are_forgotten_first(state):
+def test_features_with_the_fewest_crashes_are_evicted_first(state):
     crash(state, "first", "e1", "e2")
-    for number in range(suspects.MOST_SUSPECTS):
+    for number in range(suspects.MAX_SUSPECTS):
         crash(state, f"f{number}", "e1", at_s=1.0)
     kept = {each.fingerprint for each in state.suspects.all()}
     assert "first" in kept
     assert "f0" not in kept
 
 
-def test_what_is_old_is_forgotten(state):
+def test_old_features_are_forgotten(state):
     crash(state, "f", "e1", "e2", "e3")
-    crash(state, "g", "e1", at_s=suspect_rules.KEPT_S)
+    crash(state, "g", "e1", at_s=suspect_rules.SUSPECT_TTL_S)
     assert {each.fingerprint for each in state.suspects.all()} == {"g"}
 
 
-def test_a_router_that_lacks_too_much_is_told_all(state):
+def test_a_router_that_is_too_far_behind_gets_everything(state):
     crash(state, "kept", "e1", "e2")
-    for number in range(suspects.MOST_REMOVED + 1):
+    for number in range(suspects.MAX_REMOVALS + 1):
         crash(state, f"f{number}", "e1", "e2")
         clear(state, f"f{number}")
-    change = told(state, revision=2)
+    change = update_for(state, revision=2)
     assert change.is_whole
     assert [each.fingerprint for each in change.suspects] == ["kept"]
 
 
-def test_a_router_that_knows_a_later_revision_is_told_all(state):
-    # All disks were lost, and the fleet began anew.
+def test_a_router_with_a_later_revision_gets_everything(state):
+    # All disks were lost, and the control boxes started with an empty state.
     crash(state, "f", "e1", "e2")
-    assert told(state, revision=99).is_whole
+    assert update_for(state, revision=99).is_whole
 
 
 class TestParts:
-    """What differs for a part of prompts, which others share."""
+    """What differs for prompt parts, which several requests share."""
 
-    def test_the_first_end_is_told_and_holds_nothing_back(self, state):
+    def test_the_first_crash_is_published_but_needs_no_trial(self, state):
         assert crash(state, PART, "e1") == ()
-        (known,) = told(state).suspects
+        (known,) = update_for(state).suspects
         assert (known.crashes, known.accused) == (1, ("clinic",))
         assert ask(state, PART, "t").verdict is suspect_messages.Verdict.FREE
 
-    def test_two_trials_that_end_endpoints_refuse_it(self, state):
+    def test_a_part_is_refused_after_two_trials_that_crash(self, state):
         crash(state, PART, "e1", "e2")
         for trial, life in (("t1", "e3"), ("t2", "e4")):
             assert ask(state, PART, trial).verdict is suspect_messages.Verdict.GRANTED
@@ -220,43 +221,44 @@
             suspect_messages.Verdict.REFUSED, 4, suspect_rules.REST_S
         )
 
-    def test_ends_at_one_moment_alone_refuse_nothing(self, state):
-        # A hall loses its power, and it was under way in each endpoint.
+    def test_simultaneous_crashes_alone_do_not_refuse_a_part(self, state):
+        # A data hall loses power while each of its endpoints runs a request with the part.
         crash(state, PART, *(f"e{number}" for number in range(9)))
         assert ask(state, PART, "t1").verdict is suspect_messages.Verdict.GRANTED
 
-    def test_trials_that_come_to_nothing_are_spaced_and_refuse_for_no_longer(self, state):
+    def test_inconclusive_trials_have_growing_cooldowns_and_refuse_no_longer(self, state):
         crash(state, PART, "e1", "e2")
         at_s = 0.0
-        for blank, rest_s in enumerate(suspect_rules.BLANK_RESTS_S[1:]):
+        for number, cooldown_s in enumerate(suspect_rules.BLANK_RESTS_S[1:]):
             assert (
-                ask(state, PART, f"t{blank}", at_s=at_s).verdict is suspect_messages.Verdict.GRANTED
+                ask(state, PART, f"t{number}", at_s=at_s).verdict
+                is suspect_messages.Verdict.GRANTED
             )
-            end(state, PART, f"t{blank}", at_s=at_s)
+            end(state, PART, f"t{number}", at_s=at_s)
             refused = ask(state, PART, "early", at_s=at_s)
             assert refused == suspect_messages.TrialAnswer(
-                suspect_messages.Verdict.REFUSED, 2, rest_s
+                suspect_messages.Verdict.REFUSED, 2, cooldown_s
             )
-            at_s += rest_s
+            at_s += cooldown_s
 
-    def test_a_workspace_under_which_none_ended_has_one_trial_of_its_own(self, state):
-        refuse(state)
+    def test_an_unaccused_workspace_has_one_trial_of_its_own(self, state):
+        make_refused(state)
         other = suspect_messages.Asker("shop")
         assert ask(state, PART, "t3").verdict is suspect_messages.Verdict.REFUSED
         assert ask(state, PART, "t4", asker=other).verdict is suspect_messages.Verdict.GRANTED
         end(state, PART, "t4")
         assert ask(state, PART, "t5", asker=other).verdict is suspect_messages.Verdict.REFUSED
-        assert not told(state).suspects[0].has_own_trial
+        assert not update_for(state).suspects[0].has_own_trial
 
-    def test_so_has_a_request_without_a_part_that_was_there_each_time(self, state):
-        refuse(state, suspect_messages.Asker("clinic", (OTHER, "part-c")))
+    def test_a_request_without_a_part_present_at_each_trial_has_one_too(self, state):
+        make_refused(state, suspect_messages.Asker("clinic", (OTHER, "part-c")))
         with_it = suspect_messages.Asker("clinic", (OTHER, "part-c"))
         assert ask(state, PART, "t3", asker=with_it).verdict is suspect_messages.Verdict.REFUSED
         without = suspect_messages.Asker("clinic", ("part-c",))
         assert ask(state, PART, "t4", asker=without).verdict is suspect_messages.Verdict.GRANTED
 
-    def test_a_survival_clears_it_for_all(self, state):
-        refuse(state)
+    def test_a_success_clears_a_part_for_all_workspaces(self, state):
+        make_refused(state)
         clear(state, PART)
         assert ask(state, PART, "t3").verdict is suspect_messages.Verdict.FREE
 
@@ -271,8 +273,10 @@
             max_size=60,
         )
     )
-    def test_one_that_ends_all_is_sent_three_times_at_most_after_the_fifth_end(self, steps):
-        state, at_s, ends, late = agreed.AgreedState(), 0.0, 0, 0
+    def test_a_part_that_always_crashes_is_sent_at_most_three_times_after_the_fifth_crash(
+        self, steps
+    ):
+        state, at_s, crash_count, late = agreed.AgreedState(), 0.0, 0, 0
         for number, (workspace, others, pause_s, is_reported) in enumerate(steps):
             at_s += pause_s
             answer = ask(
@@ -283,11 +287,11 @@
                 suspect_messages.Verdict.GRANTED,
             ):
                 continue
-            late += ends >= suspect_rules.BORNE_CRASHES
+            late += crash_count >= suspect_rules.TOLERATED_CRASHES
             if is_reported or answer.verdict is suspect_messages.Verdict.FREE:
-                # The end under a trial may be lost with its router.
+                # The crash in a trial may be lost with its router.
                 crash(state, PART, f"e{number}", at_s=at_s, workspace=workspace)
-            ends += 1
+            crash_count += 1
             end(state, PART, f"t{number}", at_s=at_s)
         assert late <= 3
 
@@ -331,14 +335,14 @@
 
 
 class _Router:
-    """Learns what it is told, as routers do."""
+    """Applies the updates that it receives, as routers do."""
 
     def __init__(self):
         self.revision = 0
         self.known = {}
 
-    def renew(self, state):
-        change = told(state, self.revision)
+    def update(self, state):
+        change = update_for(state, self.revision)
         if change is None:
             return
         if change.is_whole:
@@ -350,20 +354,20 @@
 
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
-def test_a_router_that_renews_now_and_then_knows_what_one_knows_that_has_just_come(steps):
+def test_incremental_updates_give_the_same_as_a_full_one(steps):
     state, router = agreed.AgreedState(), _Router()
-    for command, renews in steps:
+    for command, is_updated in steps:
         state.apply(command)
-        if renews:
-            router.renew(state)
+        if is_updated:
+            router.update(state)
     late = _Router()
-    router.renew(state)
-    late.renew(state)
+    router.update(state)
+    late.update(state)
     assert router.known == late.known
 
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
-def test_a_control_box_that_starts_again_comes_to_the_same(steps):
+def test_a_restarted_control_box_computes_the_same_state(steps):
     state, restarted = agreed.AgreedState(), agreed.AgreedState()
     for command, starts_again in steps:
         written = commands.encode(command)
@@ -381,7 +385,7 @@
         strategies.tuples(strategies.booleans(), strategies.floats(0, 30)), max_size=60
     )
 )
-def test_a_request_that_ends_every_endpoint_is_granted_no_more_than_its_trials(steps):
+def test_a_request_that_always_crashes_gets_a_limited_number_of_trials(steps):
     state, now_s, granted = agreed.AgreedState(), 0.0, 0
     crash(state, "f", "e1", "e2")
     for number, (is_reported, pause_s) in enumerate(steps):
@@ -390,11 +394,11 @@
             granted += 1
             if is_reported:
                 crash(state, "f", f"later-{number}", at_s=now_s)
-    # A rest that is short where no third end is known may pass.
-    assert granted <= suspect_rules.MOST_TRIALS + 1
+    # Without a third crash the cooldown is short and may expire, which allows one more trial.
+    assert granted <= suspect_rules.MAX_TRIALS + 1
 
 
-def test_a_snapshot_without_suspects_is_read(state):
+def test_a_snapshot_without_suspects_can_be_restored(state):
     text = state_codec.encode(state)
     restored = agreed.AgreedState()
     crash(restored, "f", "e1")
--- a/testing/core/test_told_load.py
+++ b/testing/core/test_told_load.py
@@ -1,4 +1,4 @@
-"""What is believed of the load that an endpoint tells."""
+"""Which load reports of endpoints are accepted."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
         ("1000000,0,8", (1_000_000, 0, 8, None)),
     ],
 )
-def test_a_sound_load_is_read(text, figures):
-    told = told_load.parse(text)
-    assert (told.running, told.waiting, told.slots, told.time_percent) == figures
+def test_a_valid_report_is_parsed(text, figures):
+    report = told_load.parse(text)
+    assert (report.running, report.waiting, report.slots, report.time_percent) == figures
 
 
 @pytest.mark.parametrize(
@@ -46,11 +46,11 @@
         "running=3",
     ],
 )
-def test_what_is_no_load_says_nothing(text):
+def test_an_invalid_report_is_ignored(text):
     assert told_load.parse(text) is None
 
 
-def test_an_endpoint_that_claims_a_crowd_counts_as_full_and_no_more():
-    told = told_load.parse("900000,900000,16")
-    assert told.is_full
-    assert told.present == 32
+def test_an_implausibly_high_load_counts_as_twice_the_slots():
+    report = told_load.parse("900000,900000,16")
+    assert report.is_full
+    assert report.present == 32
--- a/testing/core/test_verdicts.py
+++ b/testing/core/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What becomes of a request after an answer."""
+"""What is done with a request after a response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TestVerdicts:
-    """What an answer's head means."""
+    """The verdict for each kind of response head."""
 
     @pytest.mark.parametrize(
         ("status", "declined", "proof", "matches", "verdict"),
@@ -25,7 +25,9 @@
             (500, False, True, True, verdicts.Verdict.FAILED),
         ],
     )
-    def test_each_head(self, status, declined, proof, matches, verdict):
+    def test_the_verdict_follows_from_the_response_head(
+        self, status, declined, proof, matches, verdict
+    ):
         facts = verdicts.AnswerFacts(
             status=status, declined=declined, has_proof=proof, id_matches=matches
         )
--- a/testing/core/test_window.py
+++ b/testing/core/test_window.py
@@ -1,4 +1,4 @@
-"""How much a box sends to an endpoint that asked it for rest, and when callers come back."""
+"""The congestion window after a rejection, and when rejected callers retry."""
 
 from __future__ import annotations
 
@@ -9,40 +9,38 @@
 
 
 @given(st.integers(1, 500), st.integers(0, 2000))
-def test_one_request_may_always_go_and_what_is_accepted_makes_room(in_flight, accepted):
-    made = window.Window()
-    made.turned_away(in_flight, 0.0)
-    assert made.admits(0)
-    assert not made.admits(in_flight)
-    before = made.size
+def test_one_request_is_always_admitted_and_accepted_ones_widen_the_window(in_flight, accepted):
+    congestion_window = window.Window()
+    congestion_window.turned_away(in_flight, 0.0)
+    assert congestion_window.admits(0)
+    assert not congestion_window.admits(in_flight)
+    before = congestion_window.size
     for _ in range(accepted):
-        made.accepted()
-    assert made.size >= before
-    assert made.size <= before + accepted
+        congestion_window.accepted()
+    assert congestion_window.size >= before
+    assert congestion_window.size <= before + accepted
 
 
-def test_it_bounds_nothing_once_it_is_old():
-    made = window.Window()
-    made.turned_away(3, 5.0)
-    made.forget(5.0 + window.FORGOTTEN_S - 0.1)
-    assert not made.admits(3)
-    made.forget(5.0 + window.FORGOTTEN_S)
-    assert made.admits(1000)
-    assert made.is_blank
+def test_the_limit_is_lifted_after_a_while():
+    congestion_window = window.Window()
+    congestion_window.turned_away(3, 5.0)
+    congestion_window.forget(5.0 + window.FORGOTTEN_S - 0.1)
+    assert not congestion_window.admits(3)
+    congestion_window.forget(5.0 + window.FORGOTTEN_S)
+    assert congestion_window.admits(1000)
+    assert congestion_window.is_blank
 
 
 @given(st.floats(0, 3600), st.floats(0, 60), st.floats(0, 1), st.integers(0, 9))
-def test_nobody_is_told_to_come_back_before_there_is_anything_to_be_had(
-    opens_in_s, left_s, chance, urgency
-):
+def test_no_caller_retries_before_there_is_room_or_too_late(opens_in_s, left_s, chance, urgency):
     position = returns.place(urgency, chance)
-    told_s = returns.wait_s(opens_in_s, left_s, returns.SPREAD, position)
-    assert told_s >= round(opens_in_s, 3)
-    assert told_s <= round(max(opens_in_s, returns.ELSEWHERE_S) * (1 + returns.SPREAD), 3)
-    assert told_s <= round(max(opens_in_s, returns.ELSEWHERE_S, left_s / 3), 3)
+    retry_in_s = returns.wait_s(opens_in_s, left_s, returns.SPREAD, position)
+    assert retry_in_s >= round(opens_in_s, 3)
+    assert retry_in_s <= round(max(opens_in_s, returns.ELSEWHERE_S) * (1 + returns.SPREAD), 3)
+    assert retry_in_s <= round(max(opens_in_s, returns.ELSEWHERE_S, left_s / 3), 3)
 
 
-def test_the_most_urgent_return_first():
+def test_the_most_urgent_callers_retry_first():
     waits_s = [returns.wait_s(2.0, 60.0, 0.2, returns.place(rank, 0.5)) for rank in range(10)]
     assert waits_s == sorted(waits_s)
     assert len(set(waits_s)) == 10
