--- a/src/croftpulley/core/answering.py
+++ b/src/croftpulley/core/answering.py
@@ -41,7 +41,7 @@
             of_pool[box] = now_s
 
     def by_others(self, box: str, now_s: float) -> tuple[str, ...]:
-        """Return the pools, sorted, that lately responded to a box other than ``box``."""
+        """Return the pools, sorted, that recently responded to a box other than ``box``."""
         return tuple(
             pool
             for pool, of_pool in sorted(self._reported_at_s.items())
--- a/src/croftpulley/core/doubts.py
+++ b/src/croftpulley/core/doubts.py
@@ -204,7 +204,7 @@
         return known.pop_closed(now_s - RECENT_CANDIDATE_S)
 
     def broke_lately(self, fingerprint: str, now_s: float) -> tuple[str, ...]:
-        """Return the incarnations where the request broke lately and the reason is unknown."""
+        """Return the incarnations where the request broke recently and the reason is unknown."""
         return tuple(
             name
             for name, incarnation in self._incarnations.items()
@@ -266,7 +266,7 @@
 
 
 def _is_unexplained(attempt: _EndedAttempt, incarnation: _Incarnation, now_s: float) -> bool:
-    """Tell whether an attempt broke lately, and its address has accepted no connection since."""
+    """Tell whether an attempt broke recently, and its address has accepted no connection since."""
     broke = attempt.ending in (Ending.BROKE, Ending.CLOSED)
     return broke and incarnation.reachable_at_s < attempt.at_s > now_s - RECENT_CANDIDATE_S
 
--- a/src/croftpulley/core/returns.py
+++ b/src/croftpulley/core/returns.py
@@ -43,8 +43,8 @@
 
     Room is expected in ``opens_in_s``, and the caller has ``left_s`` until its deadline. Callers
     that arrived over some time should not all return at one instant: ``position``, from 0 to 1,
-    puts each at its place within a time of ``spread`` times the wait after its end. This delay ends
-    early where the caller would not wait for so long.
+    spreads them over an additional time of ``spread`` times the wait. This additional time is cut
+    where a caller would give up before its end.
 
     >>> wait_s(1.0, 6.0, 0.5, 0.0), wait_s(1.0, 6.0, 0.5, 1.0), wait_s(1.0, 3.3, 0.5, 1.0)
     (1.0, 1.5, 1.1)
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -44,8 +44,8 @@
 
     >>> from croftpulley.core import suspect_messages as messages
     >>> suspects = Suspects()
-    >>> def crash(life):
-    ...     crashes = (messages.Crash("f", "clinic", life),)
+    >>> def crash(incarnation):
+    ...     crashes = (messages.Crash("f", "clinic", incarnation),)
     ...     _ = suspects.report(messages.Report(crashes=crashes), 2.0)
     >>> crash("e1"), crash("e2"), crash("e3")
     (None, None, None)
--- a/src/croftpulley/core/window.py
+++ b/src/croftpulley/core/window.py
@@ -1,4 +1,4 @@
-"""Congestion window of a box at an endpoint that rejected it lately.
+"""Congestion window of a box at an endpoint that rejected it recently.
 
 After the rest that an endpoint asked for, all rejected callers return at once and would fill it
 again. So a box starts with fewer concurrent requests than it had when it was rejected, and
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -25,7 +25,9 @@
 
 def crash(state, fingerprint, *lives, at_s=0.0, workspace="clinic"):
     """Report that endpoints crashed while they had a request."""
-    crashes = tuple(suspect_messages.Crash(fingerprint, workspace, life) for life in lives)
+    crashes = tuple(
+        suspect_messages.Crash(fingerprint, workspace, incarnation) for incarnation in lives
+    )
     return state.apply(agreed.ReportSuspects(suspect_messages.Report(crashes=crashes), at_s))
 
 
@@ -37,9 +39,9 @@
 def make_refused(state, asker=CLINIC):
     """Crash endpoints in two trials, so that the part is refused."""
     crash(state, PART, "e1", "e2")
-    for trial, life in (("t1", "e3"), ("t2", "e4")):
+    for trial, incarnation in (("t1", "e3"), ("t2", "e4")):
         ask(state, PART, trial, asker=asker)
-        crash(state, PART, life)
+        crash(state, PART, incarnation)
         end(state, PART, trial)
 
 
@@ -98,9 +100,9 @@
 
 def test_after_two_trials_that_crash_there_is_a_cooldown_and_one_more_trial(state):
     crash(state, "f", "e1", "e2")
-    for trial, life in (("t1", "e3"), ("t2", "e4")):
+    for trial, incarnation in (("t1", "e3"), ("t2", "e4")):
         assert ask(state, "f", trial).verdict is suspect_messages.Verdict.GRANTED
-        crash(state, "f", life, at_s=1.0)
+        crash(state, "f", incarnation, at_s=1.0)
         end(state, "f", trial, at_s=1.0)
     refused = ask(state, "f", "t3", at_s=2.0)
     assert refused == suspect_messages.TrialAnswer(
@@ -212,9 +214,9 @@
 
     def test_a_part_is_refused_after_two_trials_that_crash(self, state):
         crash(state, PART, "e1", "e2")
-        for trial, life in (("t1", "e3"), ("t2", "e4")):
+        for trial, incarnation in (("t1", "e3"), ("t2", "e4")):
             assert ask(state, PART, trial).verdict is suspect_messages.Verdict.GRANTED
-            crash(state, PART, life)
+            crash(state, PART, incarnation)
             end(state, PART, trial)
         refused = ask(state, PART, "t3")
         assert refused == suspect_messages.TrialAnswer(
