--- a/src/croftpulley/core/admission.py
+++ b/src/croftpulley/core/admission.py
@@ -1,4 +1,4 @@
-"""Whether an engine's owner may take one more request, and limits per workspace."""
+"""Admission control at an engine's owner: the load cap and why a request is refused."""
 
 from __future__ import annotations
 
@@ -10,44 +10,48 @@
 
 @attrs.define
 class EngineCount:
-    """What the owner counts at one engine.
+    """The load of one engine as its owner counts it.
 
-    ``outstanding`` is exact. ``foreign`` is what the engine's load report shows beyond it, such
-    as streams left by an earlier owner.
+    ``outstanding`` is the exact number of requests that the owner has admitted and not finished.
+    ``untracked`` is what the engine's load report shows on top of it, such as streams admitted by
+    an earlier owner.
     """
 
     outstanding: int = 0
     foreign: int = 0
-    most_since_asked: int = 0
+    peak_since_query: int = 0
 
     @property
     def load(self) -> int:
-        """Requests at the engine."""
+        """Requests at the engine, tracked or not."""
         return self.outstanding + self.foreign
 
     def enter(self) -> None:
-        """Count one request in."""
+        """Count a request that starts."""
         self.outstanding += 1
-        self.most_since_asked = max(self.most_since_asked, self.outstanding)
+        self.peak_since_query = max(self.peak_since_query, self.outstanding)
 
     def leave(self) -> None:
-        """Count one request out."""
+        """Count a request that has ended."""
         self.outstanding -= 1
 
     def ask(self) -> None:
-        """Begin to ask the engine for its load report."""
-        self.most_since_asked = self.outstanding
+        """Note that a load report is about to be requested from the engine."""
+        self.peak_since_query = self.outstanding
 
     def report(self, running: int) -> None:
-        """Take the load report asked for.
+        """Update ``untracked`` from the load report that was requested last.
 
-        The engine wrote it at some moment since, when it may have run as many requests of this
-        owner as there were at most; only what goes beyond them is foreign.
+        The engine took the figure at some moment after the request for it, when it may have run as
+        many requests of this owner as the peak since then. Only what exceeds that peak is
+        untracked.
         """
-        self.foreign = max(0, running - self.most_since_asked)
+        self.foreign = max(0, running - self.peak_since_query)
 
     def forget_report(self) -> None:
-        """Drop what the engine reported before it started anew; requests of ours end by breaking.
+        """Discard the untracked load of an engine that restarted.
+
+        Requests of this owner that the restart broke are counted out as they fail.
 
         >>> count = EngineCount(outstanding=2, foreign=5)
         >>> count.forget_report(); count.load
@@ -62,15 +66,15 @@
     current: membership.PoolLoad,
     listed_engines: int = 0,
 ) -> float:
-    """Return a pool's mean load with this box's own part as it is now.
+    """Return a pool's mean load per engine with this box's own contribution brought up to date.
 
-    ``heard`` is the pool's total as last heard, ``reported`` what this box had put into it, and
-    ``current`` what this box counts now. Without this, the first moments of a surge are refused
-    against a mean from before it.
+    ``heard`` is the last total received for the pool, ``reported`` what this box contributed to
+    that total, and ``current`` what this box counts now. Against the received mean alone, the first
+    requests of a surge would be refused.
 
-    ``listed_engines`` is how many engines the directory has in the pool. Just after an engine got
-    its owner, ``heard`` does not include it yet; divided by too few engines the mean would be too
-    high and an engine would be buried (``testing/test_surge.py``).
+    ``listed_engines`` is the number of the pool's engines in the directory. ``heard`` doesn't
+    include an engine whose owner was assigned a moment ago; dividing by too few engines would raise
+    the mean and overload an engine (``testing/test_surge.py``). Without engines the mean is 0.
 
     >>> load = membership.PoolLoad
     >>> fresh_mean(load("llm", 4, 4), load("llm", 2, 2), load("llm", 10, 2))
@@ -84,10 +88,11 @@
 
 @attrs.frozen
 class Limits:
-    """The cap that holds for one admission.
+    """The load cap that applies to one admission.
 
-    ``mean`` is the pool's mean load as last heard; ``mean_evidence`` a fresher figure that the
-    asking box worked out from refusals, 0 if it has none.
+    ``mean`` is the pool's mean load as last received. ``mean_evidence`` is a more recent mean that
+    the requesting box derived from refusals, or 0. ``slots`` is how many requests the engine runs
+    at once, or 0 where that isn't known.
     """
 
     cap_multiple: float
@@ -97,16 +102,16 @@
 
     @property
     def most(self) -> float:
-        """The most requests that the engine may hold.
+        """The maximum number of requests that the engine may hold.
 
-        One request on top lets a pool that stands idle take its first ones.
+        The cap has one request on top so that an idle pool can accept its first requests.
         """
         cap = self.cap_multiple * max(self.mean, self.mean_evidence) + 1
         return min(cap, self.slots) if self.slots else cap
 
 
 def refusal(count: EngineCount, limits: Limits, *, leaving: bool) -> codes.ResultCode | None:
-    """Return why the engine may not take one more request, or ``None`` if it may.
+    """Return why the engine can't accept one more request, or ``None`` if it can.
 
     >>> limits = Limits(cap_multiple=1.25, mean=4.0)
     >>> refusal(EngineCount(outstanding=5), limits, leaving=False) is None
--- a/src/croftpulley/core/calls.py
+++ b/src/croftpulley/core/calls.py
@@ -1,16 +1,16 @@
-"""What a forwarded request's headers say, and what its prompt shares with others."""
+"""Metadata from a forwarded request's headers, and the parts that its prompt is made of."""
 
 from __future__ import annotations
 
 import attrs
 
-MOST_LOGGED_PARTS = 16
-"""Of a prompt in one line of the log: more make a line too long to read."""
+MAX_LOGGED_PARTS = 16
+"""Limits the prompt parts in one log line; with more of them the line is too long to read."""
 
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt; requests that name the same part begin with the same text."""
+    """A part of a prompt. Requests with the same part id begin with the same text."""
 
     part: str
     tokens: int
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallFacts:
-    """What the fleet knows of a request. Whatever the caller did not say is empty or ``None``."""
+    """Metadata of a request. What the caller didn't send is empty or ``None``."""
 
     request_id: str
     key: str = ""
@@ -26,31 +26,32 @@
     prompt: tuple[PromptPart, ...] = ()
     last_event_id: str = ""
     resumes: str = ""
-    """The id of the request that brought the first event of the stream that this one takes up."""
+    """The id of the request that delivered the first event of the stream that this request
+    resumes."""
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """The beginning that other requests have too: the last part is the caller's own."""
+        """The prompt's prefix that other requests may share: all parts but the last."""
         return self.prompt[:-1]
 
     @property
     def shared_names(self) -> list[str]:
-        """The names of the shared parts for a line of the log."""
-        return [part.part for part in self.shared[:MOST_LOGGED_PARTS]]
+        """The ids of the first parts of the shared prefix, for a log line."""
+        return [part.part for part in self.shared[:MAX_LOGGED_PARTS]]
 
     @property
     def prompt_tokens(self) -> int:
-        """The tokens of the whole prompt."""
+        """The number of tokens in the whole prompt."""
         return sum(part.tokens for part in self.prompt)
 
     @property
     def shared_tokens(self) -> int:
-        """The tokens of the beginning that other requests have too."""
+        """The number of tokens in the shared prefix."""
         return sum(part.tokens for part in self.shared)
 
 
 def parse_prompt(text: str) -> tuple[PromptPart, ...]:
-    """Read ``ID:TOKENS,ID:TOKENS``; what is malformed says nothing and is left out.
+    """Parse ``ID:TOKENS,ID:TOKENS``. Return no parts if any item is malformed.
 
     >>> parse_prompt("5c:800, e4:250")
     (PromptPart(part='5c', tokens=800), PromptPart(part='e4', tokens=250))
@@ -67,13 +68,15 @@
 
 
 def parse_budget_s(text: str) -> float | None:
-    """Read a number of milliseconds; ``None`` if it is not one.
+    """Parse a number of milliseconds and return it in seconds.
+
+    Return ``None`` if the text isn't a number, or if it is negative or infinite.
 
     >>> parse_budget_s("1500"), parse_budget_s("soon"), parse_budget_s("-3")
     (1.5, None, None)
     """
     try:
-        milliseconds_ms = float(text)
+        value_ms = float(text)
     except ValueError:
         return None
-    return milliseconds_ms / 1000 if 0 <= milliseconds_ms < float("inf") else None
+    return value_ms / 1000 if 0 <= value_ms < float("inf") else None
--- a/src/croftpulley/core/choice.py
+++ b/src/croftpulley/core/choice.py
@@ -1,8 +1,8 @@
-"""Which engines a chat goes to, in which order.
+"""Order of preference of a chat's engines and boxes.
 
-Rendezvous (highest random weight) hashing: Thaler and Ravishankar, "Using name-based mappings to
-increase hit rates", 1998. Every box computes the same order without talking, and one engine that
-joins or leaves moves one chat in n.
+Uses rendezvous (highest random weight) hashing: Thaler and Ravishankar, "Using name-based mappings
+to increase hit rates", 1998. All boxes compute the same order without coordination, and adding or
+removing one of n engines moves one chat in n.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def order(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` in the order of preference for ``key``.
+    """Return ``names`` in the order of preference for ``key``, which doesn't depend on their order.
 
     >>> order("chat-1", ["a", "b", "c"]) == order("chat-1", ["c", "a", "b"])
     True
@@ -29,18 +29,18 @@
 
 
 def chat_key(workspace: str, model: str, chat: str, messages: Sequence[object]) -> str:
-    """Return what a chat's turns have in common.
+    """Return the key that all turns of a chat have in common.
 
-    That is the caller's chat id. Without one it is the beginning of the conversation (all up to
-    the first user's message), which later turns repeat.
+    It contains the caller's chat id or, without one, a hash of the conversation up to and including
+    the first message of the user, which later turns repeat.
     """
     if chat:
         return f"{workspace}/{model}/{chat}"
-    beginning = orjson.dumps(_beginning(messages))
-    return f"{workspace}/{model}/{xxhash.xxh3_128_hexdigest(beginning)}"
+    opening = orjson.dumps(_opening_messages(messages))
+    return f"{workspace}/{model}/{xxhash.xxh3_128_hexdigest(opening)}"
 
 
-def _beginning(messages: Sequence[object]) -> list[object]:
+def _opening_messages(messages: Sequence[object]) -> list[object]:
     for position, message in enumerate(messages):
         if isinstance(message, dict) and message.get("role") == "user":
             return list(messages[: position + 1])
@@ -48,7 +48,7 @@
 
 
 def engines_for(key: str, pool: str, directory: membership.Directory) -> list[membership.Endpoint]:
-    """Return the engines of ``pool`` that may take new work, preferred first."""
+    """Return the engines of ``pool`` that accept new work, in preference order for ``key``."""
     usable = {
         engine.name: engine
         for engine in directory.engines
@@ -62,8 +62,8 @@
 ) -> list[membership.Box]:
     """Return the boxes that a caller should use for a chat, preferred first.
 
-    The owner of the chat's first engine comes first, so that a returning chat pays no hop between
-    boxes. Boxes that are draining are never named.
+    The owner of the chat's preferred engine comes first, which saves a returning chat the hop
+    between boxes. Draining boxes are left out.
     """
     named = {box.name: box for box in directory.boxes if not box.draining}
     boxes = [named[name] for name in order(key, named)]
--- a/src/croftpulley/core/cold.py
+++ b/src/croftpulley/core/cold.py
@@ -1,13 +1,13 @@
-"""How many requests all boxes together send an endpoint that is cold: so few that it does not fail.
+"""Send quotas for cold endpoints, which fail when they get too many requests.
 
-An endpoint that has just started, or was idle for long, takes a configured number of requests a
-second and falls over well above that. Boxes share no memory, so the leading control box allots
-what there is: each cold endpoint is open to a few boxes, each of which may send it so many requests
-in any second. Who has no allotment sends it nothing. An allotment ends by itself and is given to
-another box only when whatever the first one sent is a second old.
+An endpoint that has just started, or was idle for long, takes a configured number of requests per
+second and fails well above that. Boxes share no memory, so the leading control box allocates
+quotas: it opens each cold endpoint to a few boxes and tells each of them how many requests it may
+send within any second. A box without a quota sends nothing. A quota expires by itself, and is given
+to another box only once everything that the first box sent is at least a second old.
 
-Dividing the number evenly needs no leader, but a box cannot send a fraction of a request: 80 boxes
-that may each send one in four seconds can do so in the same second.
+An even division among all boxes would need no leader, but a box can't send a fraction of a request:
+80 boxes that may each send one request in four seconds can all send it in the same second.
 """
 
 from __future__ import annotations
@@ -19,56 +19,57 @@
 from croftpulley.core import choice
 
 WINDOW_S = 1.0
-"""Requests are counted in any second."""
+"""The length of the sliding window in which requests are counted."""
 ALLOTTED_S = 1.0
-"""How long a box may use what it was allotted: three more renewals may fail before it ends."""
+"""How long a quota is valid. Three further renewals may fail before it expires."""
 MARGIN_S = 0.1
-"""By how much clocks may run apart over an allotment, and how late a request may leave."""
+"""Allowance for clock drift while a quota is valid, and for a request that is sent late."""
 RETURNED_S = 2.5
-"""How long the endpoints of a hall that was returned are taken for cold: they may have turned cold
-while they got nothing, and the list says so 0.8 s later by the users' settings. It is read each
-0.5 s and told with the next renewal."""
+"""How long the endpoints of a data hall that returns to service count as cold. They may have turned
+cold while they got no requests. By the users' settings, the list of endpoints shows that 0.8 s
+later; it is read every 0.5 s and reaches boxes with their next renewal."""
 
 
 @attrs.define
-class _Part:
-    """What one box may send in a second; another may have it from ``free_at_s`` on."""
+class _BoxQuota:
+    """What one box may send in a second; available to other boxes from ``reusable_at_s`` on."""
 
-    a_second: int
-    free_at_s: float
+    per_s: int
+    reusable_at_s: float
 
 
 @attrs.define
-class _Allotment:
-    """How the ``total`` that one endpoint takes in a second is divided among boxes.
+class _EndpointQuota:
+    """The division of an endpoint's limit of ``total`` requests per second among boxes.
 
-    ``wanted`` is how it should be, ``parts`` what boxes hold: never more than ``total`` together.
+    ``target`` is the intended division. ``by_box`` is what boxes hold at present; together they
+    never exceed ``total``.
     """
 
     total: int
     boxes: Sequence[str]
-    wanted: dict[str, int]
-    parts: dict[str, _Part] = attrs.field(factory=dict)
+    target: dict[str, int]
+    by_box: dict[str, _BoxQuota] = attrs.field(factory=dict)
 
-    def keep(self, now_s: float) -> None:
-        """Drop the parts whose requests are all older than a second."""
-        for box, part in list(self.parts.items()):
-            if now_s >= part.free_at_s:
-                del self.parts[box]
+    def drop_expired(self, now_s: float) -> None:
+        """Drop the quotas of boxes whose requests are all older than the window."""
+        for box, part in list(self.by_box.items()):
+            if now_s >= part.reusable_at_s:
+                del self.by_box[box]
 
-    def take(self, box: str, now_s: float) -> int:
-        """Have a box hold its part for another while; return how large it is."""
-        held = self.parts.setdefault(box, _Part(0, now_s))
-        free = self.total - sum(each.a_second for each in self.parts.values())
-        allotted = min(self.wanted.get(box, 0), held.a_second + free)
-        if allotted:
-            self.parts[box] = _Part(max(held.a_second, allotted), now_s + _TAKEN_S)
-        return allotted
+    def renew(self, box: str, now_s: float) -> int:
+        """Renew the quota of a box and return its size, which is 0 if the box gets none."""
+        held = self.by_box.setdefault(box, _BoxQuota(0, now_s))
+        free = self.total - sum(each.per_s for each in self.by_box.values())
+        granted = min(self.target.get(box, 0), held.per_s + free)
+        if granted:
+            self.by_box[box] = _BoxQuota(max(held.per_s, granted), now_s + _QUOTA_HOLD_S)
+        return granted
 
 
 @attrs.define
 class Allotments:
-    """The allotments of a leading control box.
+    """Allocates the quotas of all cold endpoints, at the leading control box.
 
     >>> made = Allotments()
     >>> made.begin(now_s=0.0)
@@ -76,48 +77,52 @@
     (0, 2)
     """
 
-    _from_s: float = float("-inf")
-    _by_endpoint: dict[str, _Allotment] = attrs.field(factory=dict)
+    _allocates_from_s: float = float("-inf")
+    _by_endpoint: dict[str, _EndpointQuota] = attrs.field(factory=dict)
 
     def begin(self, now_s: float) -> None:
-        """Begin to lead: what the leader before has allotted must run out first."""
+        """Start a term as leader.
+
+        Nothing is allocated until the quotas of the previous leader have expired.
+        """
         self._by_endpoint.clear()
-        self._from_s = now_s + _TAKEN_S
+        self._allocates_from_s = now_s + _QUOTA_HOLD_S
 
     def a_second(
         self, endpoint: str, takes_per_s: float, box: str, boxes: Sequence[str], now_s: float
     ) -> int:
-        """Return how many requests ``box`` may send to ``endpoint`` in any second from now on.
+        """Renew the quota of ``box`` for ``endpoint`` and return how many requests it may send.
 
-        That holds for `ALLOTTED_S`. ``boxes`` are those in service; the parts go to those that the
-        endpoint's own order prefers, so that several cold endpoints are open to different boxes.
+        The number applies to any second and is valid for `QUOTA_TTL_S`. ``boxes`` are the boxes in
+        service. Quotas go to the boxes that the endpoint's rendezvous order prefers, so that
+        several cold endpoints are open to different boxes.
         """
-        if now_s < self._from_s:
+        if now_s < self._allocates_from_s:
             return 0
-        known = self._by_endpoint.get(endpoint)
-        if known is None:
+        quota = self._by_endpoint.get(endpoint)
+        if quota is None:
             total = max(1, int(takes_per_s))
-            known = _Allotment(total, boxes, _divided(endpoint, total, boxes))
-            self._by_endpoint[endpoint] = known
-        if known.boxes != boxes:
-            known.boxes = boxes
-            known.wanted = _divided(endpoint, known.total, boxes)
-        known.keep(now_s)
-        return known.take(box, now_s)
+            quota = _EndpointQuota(total, boxes, _divide(endpoint, total, boxes))
+            self._by_endpoint[endpoint] = quota
+        if quota.boxes != boxes:
+            quota.boxes = boxes
+            quota.target = _divide(endpoint, quota.total, boxes)
+        quota.drop_expired(now_s)
+        return quota.renew(box, now_s)
 
     def forget(self, now_s: float) -> None:
-        """Drop endpoints to which nobody may send by an allotment any more."""
-        for endpoint, allotment in list(self._by_endpoint.items()):
-            allotment.keep(now_s)
-            if not allotment.parts:
+        """Drop the endpoints for which no box holds a quota any more."""
+        for endpoint, quota in list(self._by_endpoint.items()):
+            quota.drop_expired(now_s)
+            if not quota.by_box:
                 del self._by_endpoint[endpoint]
 
 
-_TAKEN_S = ALLOTTED_S + WINDOW_S + MARGIN_S
+_QUOTA_HOLD_S = ALLOTTED_S + WINDOW_S + MARGIN_S
 
 
-def _divided(endpoint: str, total: int, boxes: Sequence[str]) -> dict[str, int]:
-    """Divide what an endpoint takes among as many boxes as possible, in whole requests."""
+def _divide(endpoint: str, total: int, boxes: Sequence[str]) -> dict[str, int]:
+    """Divide an endpoint's limit in whole requests among as many boxes as possible."""
     each, rest = divmod(total, max(1, len(boxes)))
     ordered = choice.order(endpoint, boxes)[:total]
     return {box: each + (position < rest) for position, box in enumerate(ordered)}
@@ -125,16 +130,17 @@
 
 @attrs.define
 class Departure:
-    """A request on its way to a cold endpoint; ``at_s`` is when its last byte left."""
+    """A request to a cold endpoint. ``sent_at_s``, when its last byte left, is infinite before."""
 
     at_s: float = float("inf")
 
 
 @attrs.define
 class Pace:
-    """What one box has sent to cold endpoints within the last second.
+    """Limits what one box sends to each cold endpoint within the window.
 
-    A box that has just started does not know what it sent before: it waits until ``from_s``.
+    A box that has just started doesn't know what it sent before, so it sends nothing until
+    ``open_from_s``.
 
     >>> pace = Pace()
     >>> first = pace.take("e", 1, 0.0)
@@ -150,11 +156,11 @@
 
     @classmethod
     def started(cls, now_s: float) -> Pace:
-        """Return the pace of a box that starts now."""
+        """Return the limiter of a box that starts now."""
         return cls(now_s + WINDOW_S + MARGIN_S)
 
     def may_send(self, endpoint: str, a_second: int, now_s: float) -> bool:
-        """Tell whether one more request is within what the box was allotted."""
+        """Return whether one more request is within the box's quota."""
         since_s = now_s - WINDOW_S - MARGIN_S
         counted = [each for each in self._sent.get(endpoint, ()) if each.at_s > since_s]
         if counted:
@@ -164,7 +170,12 @@
         return now_s >= self.from_s and len(counted) < a_second
 
     def take(self, endpoint: str, a_second: int, now_s: float) -> Departure | None:
-        """Count a request; it counts until a second after its ``at_s``, which the sender sets."""
+        """Count a request against the quota; return its record, or ``None`` if the quota is used
+        up.
+
+        The request counts until the window has passed since ``sent_at_s`` of the record, which the
+        sender sets.
+        """
         if not self.may_send(endpoint, a_second, now_s):
             return None
         departure = Departure()
@@ -173,12 +184,12 @@
 
 
 def told(a_second: Mapping[str, int]) -> dict[str, int]:
-    """Return what a box is told of cold endpoints, as counts that are not 0 (`told_back`)."""
+    """Return quotas as they are sent to a box: each plus 1, because counts of 0 aren't sent."""
     return {endpoint: count + 1 for endpoint, count in a_second.items()}
 
 
 def told_back(counts: Mapping[str, int]) -> dict[str, int]:
-    """Return how many requests a second a box may send to each cold endpoint.
+    """Return the quotas that `encode_quotas` encoded.
 
     >>> told_back(told({"e": 0, "f": 2}))
     {'e': 0, 'f': 2}
--- a/src/croftpulley/core/listed.py
+++ b/src/croftpulley/core/listed.py
@@ -1,7 +1,8 @@
-"""Which life of each endpoint is believed in, from one reading of the list to the next.
+"""Which incarnation of each endpoint counts, across successive reads of the list of endpoints.
 
-A list lags, and its pages lag apart. So a page may show an endpoint as it was before its restart,
-after another page has shown the new start. Of two lives of one endpoint the later one holds.
+The list lags, and its pages lag independently of each other. A page may show an endpoint as it was
+before a restart after another page has shown the new incarnation. Of two incarnations of one
+endpoint the one that started later counts.
 """
 
 from __future__ import annotations
@@ -12,29 +13,29 @@
 
 from croftpulley.core import membership
 
-OLDER_DOUBTED_S = 5.0
-"""How long after a life was last listed an older one is taken for a page that lags. Lists lag by
-0.8 s by the users' settings, several times less; an endpoint whose clock was set back before its
-restart is out of use for this long."""
+STALE_INCARNATION_S = 5.0
+"""How long after an incarnation was last listed an older one is taken for a stale page. By the
+users' settings the list lags by 0.8 s, which is a fraction of this. An endpoint whose clock was set
+back before its restart is out of use for this long."""
 
 
 @attrs.define
-class _Held:
-    """The life that is believed in, and when the list first lacked it."""
+class _TrackedEndpoint:
+    """The incarnation that counts, and since when the list hasn't shown it."""
 
     endpoint: membership.Endpoint
-    missed_at_s: float = float("inf")
+    missing_since_s: float = float("inf")
 
-    def outlasts(self, listed: membership.Endpoint, now_s: float) -> bool:
-        """Tell whether ``listed`` is an older life that is not believed in yet."""
+    def overrides(self, listed: membership.Endpoint, now_s: float) -> bool:
+        """Return whether ``listed`` is an older incarnation that must still be ignored."""
         if not _is_older(listed, self.endpoint):
             return False
-        return now_s - self.missed_at_s < OLDER_DOUBTED_S
+        return now_s - self.missing_since_s < STALE_INCARNATION_S
 
 
 @attrs.define
 class Listed:
-    """What one reader believes of the endpoints listed.
+    """Resolves the incarnation of each endpoint from successive reads of the list.
 
     >>> def born(at_ms):
     ...     kind = membership.EndpointKind.WORKER
@@ -46,51 +47,54 @@
     (True, 1)
     """
 
-    _held: dict[str, _Held] = attrs.field(factory=dict)
+    _tracked: dict[str, _TrackedEndpoint] = attrs.field(factory=dict)
     has_doubts: bool = False
-    """Whether the last list showed an older life, which it may show rightly in the end."""
+    """Whether the last list showed an older incarnation, which may turn out to be correct."""
 
     def take(
         self, read: Iterable[membership.Endpoint], now_s: float
     ) -> tuple[membership.Endpoint, ...]:
-        """Take a list as read; return the endpoints to believe in, each once."""
-        shown = _latest_by_name(read)
-        for name, held in self._held.items():
-            if name not in shown or shown[name].key != held.endpoint.key:
-                held.missed_at_s = min(held.missed_at_s, now_s)
+        """Process a list as read. Return the incarnations that count, one for each name listed."""
+        latest = _latest_by_name(read)
+        for name, held in self._tracked.items():
+            if name not in latest or latest[name].key != held.endpoint.key:
+                held.missing_since_s = min(held.missing_since_s, now_s)
         self.has_doubts = False
-        believed = tuple(self._judge(each, now_s) for each in shown.values())
-        self._forget(now_s)
-        return believed
+        resolved = tuple(self._resolve(each, now_s) for each in latest.values())
+        self._drop_expired(now_s)
+        return resolved
 
     def leave(self, keys: Iterable[str]) -> tuple[membership.Endpoint, ...]:
-        """Take it that some lives leave, whatever the list says; return those not known to."""
+        """Mark incarnations as leaving, whatever the list says.
+
+        Return those of them that are known and weren't marked before.
+        """
         wanted = frozenset(keys)
-        found = [each for each in self._held.values() if each.endpoint.key in wanted]
-        news = [each for each in found if not each.endpoint.leaving]
-        for held in news:
+        found = [each for each in self._tracked.values() if each.endpoint.key in wanted]
+        newly_leaving = [each for each in found if not each.endpoint.leaving]
+        for held in newly_leaving:
             held.endpoint = attrs.evolve(held.endpoint, leaving=True)
-        return tuple(held.endpoint for held in news)
+        return tuple(held.endpoint for held in newly_leaving)
 
-    def _judge(self, listed: membership.Endpoint, now_s: float) -> membership.Endpoint:
-        held = self._held.get(listed.name)
-        if held is not None and held.outlasts(listed, now_s):
+    def _resolve(self, listed: membership.Endpoint, now_s: float) -> membership.Endpoint:
+        held = self._tracked.get(listed.name)
+        if held is not None and held.overrides(listed, now_s):
             self.has_doubts = True
             return held.endpoint
         known = held.endpoint if held is not None else None
         endpoint = membership.sticky(known, listed)
-        self._held[listed.name] = _Held(endpoint)
+        self._tracked[listed.name] = _TrackedEndpoint(endpoint)
         return endpoint
 
-    def _forget(self, now_s: float) -> None:
-        """Drop lives that could outlast nothing any more."""
-        for name, held in list(self._held.items()):
-            if now_s - held.missed_at_s >= OLDER_DOUBTED_S:
-                del self._held[name]
+    def _drop_expired(self, now_s: float) -> None:
+        """Drop the incarnations that can't override a listed one any more."""
+        for name, held in list(self._tracked.items()):
+            if now_s - held.missing_since_s >= STALE_INCARNATION_S:
+                del self._tracked[name]
 
 
 def _latest_by_name(read: Iterable[membership.Endpoint]) -> dict[str, membership.Endpoint]:
-    """Return one entry a name: the latest life, and leaving if any entry of that life says so."""
+    """Return the latest incarnation of each name; it is leaving if any entry for it says so."""
     latest: dict[str, membership.Endpoint] = {}
     for each in read:
         seen = latest.get(each.name)
@@ -102,7 +106,7 @@
 
 
 def _is_older(one: membership.Endpoint, other: membership.Endpoint) -> bool:
-    """Tell whether ``one`` is known to have started before ``other``."""
+    """Return whether ``one`` is known to have started before ``other``."""
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms < other.born_ms
--- a/src/croftpulley/core/listed_counts.py
+++ b/src/croftpulley/core/listed_counts.py
@@ -1,7 +1,8 @@
-"""Counts by endpoint as plain numbers, in the order of a list that both sides hold.
+"""Encodes counts by endpoint as plain numbers, in the order of a list that both sides know.
 
-An answer to a renewal names no endpoint for its load: that took 18 bytes an endpoint and figure,
-four times a second to each router; a number takes two or three, and a row of zeros one number.
+The response to a renewal doesn't name the endpoints of its loads. Names took 18 bytes for each
+endpoint and figure, four times a second for each router. A number takes two or three bytes, and a
+run of zeros takes one number.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 @attrs.frozen
 class Load:
-    """Requests in flight and prompt tokens still to be read, by endpoint.
+    """Requests in flight and prompt tokens still to be prefilled, by endpoint.
 
-    ``resting_s`` is for how long endpoints want nothing from the box, by their own words, and
-    ``unreached`` the pools of which it reaches no endpoint.
+    ``resting_s`` is for how long each endpoint has asked this box to send it nothing. ``unreached``
+    lists the pools of which this box reaches no endpoint.
     """
 
     in_flight: dict[str, int] = attrs.field(factory=dict)
@@ -26,9 +27,9 @@
 
 
 def in_order(counts: Mapping[str, int], keys: Iterable[str]) -> tuple[int, ...]:
-    """Return the counts of ``keys`` in their order; what no key has is left out.
+    """Encode the counts of ``keys`` in their order; counts of other keys are ignored.
 
-    A negative number stands for so many zeros; those at the end are left out.
+    A negative number stands for a run of that many zeros. Trailing zeros are omitted.
 
     >>> in_order({"f": 2, "h": 1, "gone": 7}, ("e", "f", "g", "g2", "h", "i"))
     (-1, 2, -2, 1)
@@ -48,15 +49,17 @@
 
 
 def by_key(numbers: Sequence[int], keys: Sequence[str]) -> dict[str, int]:
-    """Return the counts that are not 0 by their keys.
+    """Decode the numbers of `encode_counts`. Return the counts other than 0 by key.
 
     >>> by_key((-1, 2, -2, 1), ("e", "f", "g", "g2", "h", "i"))
     {'f': 2, 'h': 1}
     """
-    return {keys[position]: count for position, count in _placed(numbers) if position < len(keys)}
+    return {
+        keys[position]: count for position, count in _positions(numbers) if position < len(keys)
+    }
 
 
-def _placed(numbers: Sequence[int]) -> Iterator[tuple[int, int]]:
+def _positions(numbers: Sequence[int]) -> Iterator[tuple[int, int]]:
     position = 0
     for number in numbers:
         if number < 0:
--- a/src/croftpulley/core/peers.py
+++ b/src/croftpulley/core/peers.py
@@ -1,4 +1,7 @@
-"""Which other boxes a request is handed to, and which are told where a stream began; pure."""
+"""Selection of peers: for handing on a request, and for storing where a stream started.
+
+The functions and classes do no I/O.
+"""
 
 from __future__ import annotations
 
@@ -9,40 +12,43 @@
 
 from croftpulley.core import choice, membership, origins
 
-SLOTS = 256
-"""So many orders are worked out when boxes change, not one for each stream."""
+SLOT_COUNT = 256
+"""Number of slots into which streams are hashed. Their orders are computed once when the boxes
+change, not for each stream."""
 TOLD = 2
-"""Boxes that are told of a stream, beside the one that began it."""
-ASKED = 4
-"""Boxes that are asked for one: should one be new, or the one that began it, it costs no answer."""
-AVOIDED_S = 0.5
-"""How long a box that took no request is asked last: two renewals tell who reaches what."""
+"""How many boxes store the origin of a stream, in addition to the box where it started."""
+QUERY_FANOUT = 4
+"""How many boxes are queried for an origin. The answer isn't lost if one of them is new or is the
+box where the stream started."""
+PEER_COOLDOWN_S = 0.5
+"""How long a peer that failed to take a request is tried last. Within two renewals it is known
+which box reaches which endpoints."""
 
 
 @attrs.define
 class Avoided:
-    """Boxes that failed lately, each for ``avoided_s``."""
+    """Boxes that failed recently, each for ``cooldown_s`` after its last failure."""
 
-    avoided_s: float
+    cooldown_s: float
     _failed_at_s: dict[str, float] = attrs.field(factory=dict)
 
     def failed(self, name: str, now_s: float) -> None:
-        """Note that a box failed."""
+        """Record the failure of a box."""
         self._failed_at_s = {
             known: at_s
             for known, at_s in self._failed_at_s.items()
-            if now_s < at_s + self.avoided_s
+            if now_s < at_s + self.cooldown_s
         }
         self._failed_at_s[name] = now_s
 
     def holds(self, name: str, now_s: float) -> bool:
-        """Tell whether a box failed lately."""
-        return now_s < self._failed_at_s.get(name, float("-inf")) + self.avoided_s
+        """Return whether a box failed recently."""
+        return now_s < self._failed_at_s.get(name, float("-inf")) + self.cooldown_s
 
 
 @attrs.define
 class Peers:
-    """The other boxes as one box, of a hall, sees them.
+    """The peers of ``box``, which is in data hall ``hall``, with their recent failures.
 
     >>> boxes = [membership.Box(name, "h", "", f"{name}:1") for name in "abc"]
     >>> known = Peers("a", "h")
@@ -55,15 +61,16 @@
 
     box: str
     hall: str
-    _avoided: Avoided = attrs.field(factory=lambda: Avoided(AVOIDED_S))
+    _avoided: Avoided = attrs.field(factory=lambda: Avoided(PEER_COOLDOWN_S))
 
     def choose(
         self, request_id: str, reaching: Iterable[membership.Box], now_s: float
     ) -> list[membership.Box]:
-        """Return the boxes to ask, best first: spread by the request's id over all of them.
+        """Return the boxes to try for a request, best first.
 
-        Of the first two the one in this box's own hall goes first, so that few bytes pass between
-        halls while a hall with few boxes left is not buried.
+        Rendezvous hashing by the request's id spreads requests over all peers. Of the first two,
+        one in this box's own data hall goes first. That limits traffic between data halls without
+        overloading a data hall with few boxes left. Peers that failed recently come last.
         """
         others = {
             each.name: each
@@ -75,27 +82,27 @@
         return sorted(ordered, key=lambda each: self._avoided.holds(each.name, now_s))
 
     def failed(self, name: str, now_s: float) -> None:
-        """Note that a box took no request, or was lost with one."""
+        """Record that a peer failed to take a request, or was lost while it handled one."""
         self._avoided.failed(name, now_s)
 
 
 @attrs.frozen
-class _Orders:
-    """The keepers of slots among some boxes, as far as they were worked out."""
+class _SlotHolders:
+    """The holders of each slot among ``boxes``, as far as they have been computed."""
 
     boxes: tuple[membership.Box, ...] = ()
     by_slot: dict[int, tuple[membership.Box, ...]] = attrs.field(factory=dict)
 
 
 class Keepers:
-    """The boxes that are told where a stream began, as one box, ``box``, sees them.
+    """Determines the boxes that store the origin of a stream, as seen from ``box``.
 
-    Streams fall into slots by their ids, and each slot has its keepers by rendezvous hashing over
-    the boxes, so that any box can work out whom to ask. Those told are in two halls if they can be,
-    should one lose power. Whoever tells and whoever asks may see different boxes for a moment: more
-    are asked than are told.
+    A stream's id is hashed to a slot, and rendezvous hashing over the boxes gives the holders of
+    each slot, so that any box can compute which boxes to query. The holders are in two data halls
+    where possible, in case one loses power. The box that stores an origin and the box that queries
+    it may briefly see different sets of boxes, which is why more boxes are queried than store it.
 
-    Threads that look up at the same time do so twice; what they come to is the same.
+    Concurrent look-ups may compute the same order twice; the result is the same.
 
     >>> boxes = tuple(membership.Box(name, "h", "", f"{name}:1") for name in "abcde")
     >>> stream = origins.StreamId("clinic", "r-1")
@@ -107,24 +114,26 @@
 
     def __init__(self, box: str) -> None:
         self._box = box
-        self._orders = _Orders()
+        self._known = _SlotHolders()
 
     def of(
         self, stream: origins.StreamId, boxes: tuple[membership.Box, ...]
     ) -> tuple[membership.Box, ...]:
-        """Return the boxes to ask, best first; the first of them are those to tell."""
-        orders = self._orders
-        if orders.boxes is not boxes:
-            orders = _Orders(boxes)
-            self._orders = orders
+        """Return the boxes to query, best first; the first `ORIGIN_COPIES` store the origin."""
+        known = self._known
+        if known.boxes is not boxes:
+            known = _SlotHolders(boxes)
+            self._known = known
         slot = slot_of(stream)
-        found = orders.by_slot.get(slot)
+        found = known.by_slot.get(slot)
         if found is None:
-            found = self._of_slot(slot, boxes)
-            orders.by_slot[slot] = found
+            found = self._holders_of_slot(slot, boxes)
+            known.by_slot[slot] = found
         return found
 
-    def _of_slot(self, slot: int, boxes: Iterable[membership.Box]) -> tuple[membership.Box, ...]:
+    def _holders_of_slot(
+        self, slot: int, boxes: Iterable[membership.Box]
+    ) -> tuple[membership.Box, ...]:
         others = {
             each.name: each
             for each in boxes
@@ -134,10 +143,10 @@
         first = ordered[:1]
         elsewhere = [each for each in ordered if each.hall != first[0].hall][: TOLD - 1]
         rest = [each for each in ordered[1:] if each not in elsewhere]
-        return tuple([*first, *elsewhere, *rest][:ASKED])
+        return tuple([*first, *elsewhere, *rest][:QUERY_FANOUT])
 
 
 def slot_of(stream: origins.StreamId) -> int:
-    """Return the slot that a stream falls into, the same on every box."""
+    """Return the slot of a stream, which is the same on every box."""
     text = f"{stream.workspace}\x00{stream.request_id}"
-    return xxhash.xxh3_64_intdigest(text.encode()) % SLOTS
+    return xxhash.xxh3_64_intdigest(text.encode()) % SLOT_COUNT
--- a/src/croftpulley/core/permits.py
+++ b/src/croftpulley/core/permits.py
@@ -1,10 +1,10 @@
-"""How many requests of a pool one box may have at its endpoints at once.
+"""How many requests of a pool one box may have in flight.
 
-Answers more demand than a pool has room for. Boxes hear each other's loads some time after the
-fact; where all of them fill the room that they last heard of, endpoints get many times what they
-can run and turn it away. So each box takes only its part of the room: the parts of all boxes that
-heard the same come to the room, but for one or few a box, and each renewal hands out anew what is
-left.
+Protects endpoints when demand exceeds the capacity of a pool. Boxes learn each other's loads with a
+delay. If all of them filled the capacity that they last knew to be free, endpoints would get many
+times what they can run and refuse it. So each box takes only its share. The shares of all boxes
+with the same information add up to the capacity, apart from one or a few requests per box, and each
+renewal divides what is left again.
 """
 
 from __future__ import annotations
@@ -14,26 +14,29 @@
 
 import attrs
 
-QUEUE_PART = 0.25
-"""Of the objective that a request may wait at its endpoint, which serves the next of all boxes; a
-box serves only its own. The rest is for running it."""
+QUEUE_TIME_SHARE = 0.25
+"""The share of the latency objective that a request may wait at its endpoint; the rest is for
+running it. An endpoint serves the next request of any box, while a box serves only its own
+queue."""
 MOST_QUEUED = 2.0
-"""Of its slots that wait beside an endpoint at most, however short its requests are."""
-UNKNOWN_QUEUED = 0.25
+"""The most requests that may wait at an endpoint, relative to its slots, however short requests
+are."""
+DEFAULT_QUEUE_RATIO = 0.25
 """The same before any request has ended."""
 FEW = 3.0
-"""Requests that a box may always have while any room is left. Where there are more boxes than slots
-an even part is less than one, and callers would wait for each other in a box beside idle slots."""
+"""Requests that a box may always have while any capacity is left. With more boxes than slots an
+even share is less than one, and callers would wait for each other in a box next to idle slots."""
 FEW_BRITTLE = 1.0
-"""The same at endpoints that end when they have to turn many away."""
+"""The same at endpoints that shut down when they have to refuse many requests."""
 STALE_S = 1.0
-"""Loads that are older say nothing of what others have: four renewals were lost."""
+"""Age from which loads say nothing about the other boxes: four renewals have been lost."""
 
 
 def work_s(hold_s: float, slots: int, total: int) -> float:
-    """Return how long endpoints work on a request that lasts ``hold_s`` with its wait there.
+    """Return how long endpoints work on a request.
 
-    ``total`` requests are there; so many of them as there are slots are worked on.
+    ``hold_s`` is how long a request lasts there including its wait. ``total`` requests are there,
+    of which as many as there are slots are worked on.
 
     >>> work_s(0.2, 24, 48), work_s(0.2, 24, 6)
     (0.1, 0.2)
@@ -41,34 +44,39 @@
     return hold_s * min(1.0, slots / total) if total else hold_s
 
 
-def queued(objective_s: float, worked_s: float) -> float:
-    """Return which part of its slots may wait beside an endpoint.
+def queued(objective_s: float, service_time_s: float) -> float:
+    """Return how many requests may wait at an endpoint, relative to its slots.
 
-    ``worked_s`` is how long it works on a request, 0 where that is not known.
+    ``service_time_s`` is how long the endpoint works on a request, or 0 where that isn't known.
 
     >>> queued(0.4, 1.0), queued(0.4, 0.05), queued(0.4, 0.0)
     (0.1, 2.0, 0.25)
     """
-    if not worked_s:
-        return UNKNOWN_QUEUED
-    return min(MOST_QUEUED, QUEUE_PART * objective_s / worked_s)
+    if not service_time_s:
+        return DEFAULT_QUEUE_RATIO
+    return min(MOST_QUEUED, QUEUE_TIME_SHARE * objective_s / service_time_s)
 
 
-def room(slots: Iterable[int], waiting_part: float) -> float:
-    """Return how many requests endpoints with so many slots each should have together.
+def room(slots: Iterable[int], waiting_ratio: float) -> float:
+    """Return how many requests endpoints with these slots should have in total.
 
-    ``waiting_part`` is from `queued`. An endpoint whose slots are not known (0) makes it unbounded.
+    ``waiting_ratio`` is the result of `queue_ratio`. An endpoint whose slots aren't known (0) makes
+    the capacity infinite.
 
     >>> room([16, 16], 0.25), room([6, 0], 0.25)
     (40.0, inf)
     """
     known = list(slots)
-    return sum(known) * (1 + waiting_part) if all(known) else math.inf
+    return sum(known) * (1 + waiting_ratio) if all(known) else math.inf
 
 
 @attrs.frozen(kw_only=True)
 class Heard:
-    """What a box last heard of a pool: its own requests there, those of all boxes, and the room."""
+    """The load of a pool as a box last received it, at ``at_s``.
+
+    ``own`` counts the requests of this box, ``total`` those of all ``boxes``. ``capacity`` is that
+    of the pool, and ``min_permits`` is how many requests a box may have while any of it is left.
+    """
 
     own: int
     total: int
@@ -80,9 +88,11 @@
     def part(self, now_s: float) -> float:
         """Return how many requests this box may have in the pool.
 
-        Where there is room left each box gets a part of that beside what it has: one half of it
-        evenly, so that boxes without requests get some, the other half by what each has; and
-        each may have a few. Where there is none left all share the whole room in that way.
+        While capacity is left, each box gets a share of it on top of what it has. Half of it is
+        divided evenly, so that boxes without requests get some, and the other half in proportion to
+        what each box has; and each box may have ``min_permits`` requests. When nothing is left, the
+        whole capacity is divided in the same way. With loads that are out of date, the whole
+        capacity is divided evenly.
 
         >>> Heard(own=3, total=30, room=50.0, boxes=10, at_s=0.0).part(0.1)
         5.0
@@ -103,10 +113,10 @@
 
 
 def whole(part: float, chance: float) -> float:
-    """Return a part as a number of requests, at least one.
+    """Round a share to a number of requests, at least one.
 
-    ``chance``, from 0 to 1, is other for each box: so many of them round up that together they have
-    what their parts come to.
+    ``chance``, from 0 to 1, differs between boxes: it makes as many of them round up as needed for
+    the total to match the sum of their shares.
 
     >>> whole(1.6, 0.5), whole(1.6, 0.9), whole(0.1, 0.9)
     (2.0, 1.0, 1.0)
--- a/src/croftpulley/core/placement.py
+++ b/src/croftpulley/core/placement.py
@@ -1,4 +1,4 @@
-"""Which box should own which engine: balanced, and moving as little as it can."""
+"""Assigns engines to owner boxes: balanced, and with as few moves as possible."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Grant:
-    """An engine that should get a new owner."""
+    """An engine and the box that should become its owner."""
 
     engine: str
     box: str
@@ -19,21 +19,21 @@
     engines: tuple[str, ...],
     boxes: tuple[str, ...],
     owners: dict[str, str],
-    free_of_lease: frozenset[str],
+    unleased: frozenset[str],
 ) -> list[Grant]:
-    """Return the grants to make now.
+    """Return the ownership grants to make now.
 
-    ``boxes`` may receive engines (live and not draining). ``free_of_lease`` are the engines
-    whose present owner has given them up or whose lease has ended; no other may be moved. An
-    engine without an owner is free.
+    ``boxes`` are the boxes that may receive engines: live and not draining. ``unleased`` are
+    the engines whose owner has released them or whose lease has expired. Only these and engines
+    without an owner are granted.
     """
     counts = dict.fromkeys(boxes, 0)
     for engine in engines:
-        if owners.get(engine) in counts and engine not in free_of_lease:
+        if owners.get(engine) in counts and engine not in unleased:
             counts[owners[engine]] += 1
     made = []
     for engine in sorted(engines):
-        held = engine in owners and engine not in free_of_lease
+        held = engine in owners and engine not in unleased
         if held or not counts:
             continue
         box = _least_loaded(engine, counts)
@@ -43,18 +43,18 @@
 
 
 def _least_loaded(engine: str, counts: dict[str, int]) -> str:
-    """Return the box with the fewest engines; the engine's own order breaks ties."""
+    """Return the box with the fewest engines; the engine's rendezvous order breaks ties."""
     fewest = min(counts.values())
     return choice.order(engine, [box for box, count in counts.items() if count == fewest])[0]
 
 
 def to_give_up(box: str, directory: membership.Directory, draining: bool) -> tuple[str, ...]:
-    """Return the engines that ``box`` should give up: all when draining, else its surplus."""
+    """Return the engines that ``box`` should release: all when draining, else its surplus."""
     held = sorted(each.engine for each in directory.owners if each.box == box)
     if draining:
         return tuple(held)
-    takers = [each.name for each in directory.boxes if not each.draining]
-    if not takers or box not in takers:
+    receivers = [each.name for each in directory.boxes if not each.draining]
+    if not receivers or box not in receivers:
         return ()
-    share = -(-len(directory.owners) // len(takers))
+    share = -(-len(directory.owners) // len(receivers))
     return tuple(held[share:])
--- a/src/croftpulley/core/places.py
+++ b/src/croftpulley/core/places.py
@@ -1,8 +1,9 @@
-"""Where the parts of prompts lie: at the engines that lately read them.
+"""Index of the engines that have recently processed each prompt part, and so likely cache it.
 
-Each router notes what it sends, and the leading control box passes the notes of all routers on in
-the order in which they came. A note may be wrong (an engine drops what is not used for long): then
-the prompt is read once more, where it would have been read anyway.
+Each router records where it sends prompt parts, and the leading control box distributes the notes
+of all routers in the order in which they arrived. A note may be wrong, because an engine evicts
+parts that aren't used for long. The prompt is then prefilled again, as it would have been without
+the note.
 """
 
 from __future__ import annotations
@@ -14,27 +15,30 @@
 import attrs
 
 Notes = Mapping[str, tuple[str, ...]]
-"""Which parts each engine was sent, by its name; the form in which boxes tell each other."""
-
-KEPT_S = 60.0
-"""An engine that has not been seen with a part for so long has likely dropped it."""
-REFRESH_S = 20.0
-"""How often a note that is still true is sent again."""
-MOST_PARTS = 50_000
-"""Bounds the memory of a router: about 10 MB."""
+"""The part ids that were sent to each engine, by engine name: the form in which boxes exchange
+notes."""
+
+NOTE_TTL_S = 60.0
+"""How long a note is valid. An engine that didn't get a part for this long has likely evicted
+it."""
+NOTE_REFRESH_S = 20.0
+"""How often a note that is still valid is sent again."""
+MAX_PARTS = 50_000
+"""Limits the memory of a router to about 10 MB."""
 LEAST_TOKENS = 300
-"""Shorter parts are read in less than 10 ms, by the users' sheets; nobody need look for them or
-fetch them from another engine."""
+"""Minimum size of a part to look for or to fetch. By the users' data sheets, shorter parts are
+prefilled in less than 10 ms, which isn't worth a transfer from another engine."""
 NOTES_AN_ANSWER = 1000
-"""About 12 KB: a box that has just started gets the rest with its next renewals, so that neither
-its link nor the one box that answers all is busy with notes while nobody may serve yet."""
-MOST_NOTES = 16_384
-"""Notes that a control box keeps for routers that come late; older ones are soon out of date."""
+"""Limits a response to about 12 KB of notes. A box that has just started gets the rest with its
+next renewals, so that notes keep neither its link nor the one box that answers all renewals busy
+while no box may serve yet."""
+MAX_NOTES = 16_384
+"""Notes that a control box keeps for routers that fall behind; older ones are soon out of date."""
 
 
 @attrs.frozen
 class Note:
-    """A prompt with this part was sent to this engine."""
+    """Records that a prompt with this part was sent to this engine."""
 
     part: str
     engine: str
@@ -42,7 +46,9 @@
 
 @attrs.define
 class Places:
-    """What one router knows, oldest first.
+    """The engines that likely cache each prompt part, as one router knows them.
+
+    The least recently noted part is evicted first.
 
     >>> places = Places()
     >>> places.note(Note("p", "e"), 0.0), places.note(Note("p", "e"), 1.0)
@@ -51,43 +57,43 @@
     (['e'], [])
     """
 
-    _seen_s: collections.OrderedDict[str, dict[str, float]] = attrs.field(
+    _last_seen_s: collections.OrderedDict[str, dict[str, float]] = attrs.field(
         factory=collections.OrderedDict
     )
 
     def note(self, note: Note, now_s: float) -> bool:
-        """Take a note; return whether others should have it too."""
-        engines = self._seen_s.setdefault(note.part, {})
-        self._seen_s.move_to_end(note.part)
-        if len(self._seen_s) > MOST_PARTS:
-            self._seen_s.popitem(last=False)
-        is_old = now_s - engines.get(note.engine, float("-inf")) > REFRESH_S
+        """Record a note. Return whether it should be passed on to other routers."""
+        engines = self._last_seen_s.setdefault(note.part, {})
+        self._last_seen_s.move_to_end(note.part)
+        if len(self._last_seen_s) > MAX_PARTS:
+            self._last_seen_s.popitem(last=False)
+        is_old = now_s - engines.get(note.engine, float("-inf")) > NOTE_REFRESH_S
         if is_old:
             engines[note.engine] = now_s
         return is_old
 
     def holders(self, part: str, now_s: float) -> list[str]:
-        """Return the engines that likely hold a part."""
-        engines = self._seen_s.get(part, {})
-        return [engine for engine, seen_s in engines.items() if now_s - seen_s <= KEPT_S]
+        """Return the engines that likely cache a part."""
+        engines = self._last_seen_s.get(part, {})
+        return [engine for engine, seen_s in engines.items() if now_s - seen_s <= NOTE_TTL_S]
 
     def keep(self, engines: Container[str]) -> None:
-        """Forget all other engines."""
-        for part, seen_s in list(self._seen_s.items()):
+        """Drop all engines other than ``engines``."""
+        for part, seen_s in list(self._last_seen_s.items()):
             kept_s = {engine: at_s for engine, at_s in seen_s.items() if engine in engines}
             if not kept_s:
-                del self._seen_s[part]
+                del self._last_seen_s[part]
             elif len(kept_s) < len(seen_s):
-                self._seen_s[part] = kept_s
+                self._last_seen_s[part] = kept_s
 
     def engines(self) -> set[str]:
-        """Return all engines of which a note is held."""
-        return {engine for seen_s in self._seen_s.values() for engine in seen_s}
+        """Return the names of all engines that appear in the index."""
+        return {engine for seen_s in self._last_seen_s.values() for engine in seen_s}
 
 
 @attrs.frozen
 class Page:
-    """Some notes in the order in which they came, and the number of the first after them."""
+    """Consecutive notes of a log, and the number of the note that follows them."""
 
     notes: tuple[Note, ...]
     next_number: int
@@ -95,23 +101,24 @@
 
 @attrs.define
 class Bulletin:
-    """The notes of all routers, numbered in the order in which they came."""
+    """The most recent notes of all routers, numbered in the order of their arrival."""
 
     next_number: int = 0
     _notes: collections.deque[Note] = attrs.field(
-        factory=lambda: collections.deque(maxlen=MOST_NOTES)
+        factory=lambda: collections.deque(maxlen=MAX_NOTES)
     )
 
     def post(self, notes: Iterable[Note]) -> None:
-        """Add notes."""
+        """Append notes."""
         for note in notes:
             self._notes.append(note)
             self.next_number += 1
 
     def since(self, number: int, most: int = NOTES_AN_ANSWER) -> Page:
-        """Return up to ``most`` notes from ``number`` on, the oldest of them first.
+        """Return up to ``most`` notes, oldest first, starting with note ``number``.
 
-        For a number of another leader it begins with the first note that there is.
+        If the log doesn't have that number, as with numbers of another leader, start with the
+        oldest note.
         """
         first = self.next_number - len(self._notes)
         if not first <= number <= self.next_number:
@@ -122,7 +129,7 @@
 
 
 def by_engine(notes: Iterable[Note]) -> Notes:
-    """Gather notes for sending.
+    """Group notes by engine for sending.
 
     >>> by_engine([Note("p", "e"), Note("q", "e")])
     {'e': ('p', 'q')}
@@ -134,7 +141,7 @@
 
 
 def each_note(notes: Notes) -> Iterator[Note]:
-    """Take apart what `by_engine` gathered."""
+    """Yield the notes that `group_by_engine` grouped."""
     for engine, parts in notes.items():
         for part in parts:
             yield Note(part, engine)
--- a/src/croftpulley/core/pool_totals.py
+++ b/src/croftpulley/core/pool_totals.py
@@ -1,4 +1,4 @@
-"""The loads of all pools, added up over all boxes as their reports come and go."""
+"""Total load of each pool over the reports of all boxes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PoolTotals:
-    """Keeps sums up to date by the difference of one report, whatever the number of boxes.
+    """Keeps totals up to date incrementally, at a cost that doesn't depend on the number of boxes.
 
     >>> totals = PoolTotals()
     >>> totals.replace("box-1", (membership.PoolLoad("llm", 4, 2),))
@@ -23,7 +23,7 @@
         self._totals: dict[str, membership.PoolLoad] = {}
 
     def replace(self, box: str, loads: Loads) -> None:
-        """Take a box's report in place of its last one."""
+        """Replace the last report of a box. An empty report removes the box."""
         for load in self._by_box.pop(box, ()):
             self._add(load.pool, -load.outstanding, -load.engines)
         for load in loads:
@@ -32,7 +32,7 @@
             self._by_box[box] = loads
 
     def loads(self) -> Loads:
-        """Return the totals of all pools that have an owned engine."""
+        """Return the totals of all pools with an owned engine or outstanding requests, by name."""
         return tuple(self._totals[pool] for pool in sorted(self._totals))
 
     def _add(self, pool: str, outstanding: int, engines: int) -> None:
--- a/src/croftpulley/core/reach.py
+++ b/src/croftpulley/core/reach.py
@@ -1,8 +1,9 @@
-"""Whether one box reaches the endpoints of its pools, by what its own connections met; pure.
+"""Whether a box can reach the endpoints of a pool, judged by its own connections. Does no I/O.
 
-An endpoint that cannot be reached has ended or is cut off; so has the box. Failures in a row do not
-tell which where many endpoints are down, so they only raise a doubt: then others of the pool are
-tried all at once, and the way is lost if none of those is reached either.
+When an endpoint can't be reached, either the endpoint is down or the box is cut off from it.
+Consecutive failures don't tell which of the two holds where many endpoints are down, so they only
+start a probe of several other endpoints of the pool at once. The network path to the pool is lost
+if none of these can be reached either.
 """
 
 from __future__ import annotations
@@ -11,32 +12,34 @@
 
 import attrs
 
-LEAST_FAILED = 2
-"""Endpoints of a pool that cannot be reached, one after another, before the way is in doubt."""
+MIN_FAILED_ENDPOINTS = 2
+"""Endpoints of a pool that can't be reached, one after another, before the path is probed."""
 MOST_LOOKED_AT = 16
-"""Endpoints that are tried at once then. With three quarters of a pool of 24 down none of so many
-is reached once in 10,000 looks, of a pool of any size once in 100."""
+"""Endpoints that a probe tries at once. With three quarters of a pool of 24 endpoints down, a probe
+of this size finds none that is up once in 10,000 probes; in a pool of any size, once in 100."""
 LOOKED_S = 0.5
-"""How long a look that reached an endpoint holds: who fails meanwhile has ended."""
+"""How long a probe that reached an endpoint is valid: an endpoint that fails meanwhile is down."""
 FLAPPING_S = 5.0
-"""A way that is lost again so soon after it was back is there once two connections in a row are
-made: a link that comes and goes is left alone."""
-REACHED_S = 1.0
-"""How long a connection that was made says that the way is there."""
-REMEMBERED_S = 5.0
-"""What failed longer ago says nothing of the way now."""
-SILENT_S = 0.5
-"""How long nothing may come back over connections to several endpoints before the way is doubted:
-most answers begin sooner, and a doubt alone decides nothing."""
-UNTOLD_S = 1.0
-"""After so long without an answer of a pool its way is doubted as well where another's is lost."""
-AWAITED_S = 2.0
-"""How long it is open whether a failure was its endpoint's: until another of the pool answers."""
+"""A path that is lost again within this time after its recovery counts as recovered only after two
+consecutive connections, so that an unstable link isn't used."""
+CONNECTION_VALID_S = 1.0
+"""How long a successful connection shows that the path works."""
+FAILURE_MEMORY_S = 5.0
+"""How long a failed connection counts against the path."""
+SILENCE_LIMIT_S = 0.5
+"""How long connections to several endpoints may be without a response before the path is suspected.
+Most responses start sooner, and the suspicion alone has no consequence."""
+UNHEARD_LIMIT_S = 1.0
+"""How long a pool may be without any response before its path is suspected too while the path to
+another pool is lost."""
+PENDING_FAILURE_S = 2.0
+"""How long a failure stays pending. It is attributed to its endpoint if another endpoint of the
+pool responds within this time."""
 
 
 @attrs.frozen
 class Failure:
-    """An attempt at an endpoint that ended without a word of it."""
+    """An attempt at an endpoint that ended without a response."""
 
     endpoint: str
     at_s: float
@@ -44,7 +47,7 @@
 
 @attrs.define
 class PoolReach:
-    """The way to one pool's endpoints, by their keys.
+    """Tracks the network path from this box to the endpoints of one pool, which are given by key.
 
     >>> way = PoolReach()
     >>> way.unreached("a", 3, 0.0), way.unreached("b", 3, 0.1)
@@ -56,127 +59,136 @@
     """
 
     is_lost: bool = False
-    """No connection is made."""
+    """Whether no connection can be made."""
     is_mute: bool = False
-    """Connections are made, and nothing comes back over them."""
+    """Whether connections can be made but get no responses."""
     _silent_since_s: dict[str, float] = attrs.field(factory=dict)
     _answered_at_s: float = float("-inf")
     _broken: set[str] = attrs.field(factory=set)
-    """Endpoints whose attempts ended without a word since any of the pool has answered."""
+    """Endpoints whose attempts failed without a response since an endpoint of the pool last
+    responded."""
     _unreached_at_s: dict[str, float] = attrs.field(factory=dict)
-    _looks_since_s: float | None = None
-    """Since when others are tried, if they are."""
-    _looked_at_s: float = float("-inf")
+    _probing_since_s: float | None = None
+    """When the running probe started, or ``None``."""
+    _probed_at_s: float = float("-inf")
     _connected_at_s: float = float("-inf")
-    _back_at_s: float = float("-inf")
-    _reached_count: int = 0
-    _least_reached: int = 1
-    _open: list[Failure] = attrs.field(factory=list)
+    _recovered_at_s: float = float("-inf")
+    _reconnect_count: int = 0
+    _min_reconnects: int = 1
+    _pending_failures: list[Failure] = attrs.field(factory=list)
 
     def unreached(self, endpoint: str, size: int, now_s: float) -> bool:
-        """Note that no connection to an endpoint was made; tell whether to look at others now.
+        """Record that a connection to an endpoint failed. Return whether to probe others now.
 
-        ``size`` is how many endpoints the pool has. Who is told so
-        says by `looked` what came of it.
+        ``size`` is the number of endpoints in the pool. A caller that is told to probe must report
+        the result with `probed`.
         """
-        self._reached_count = 0
+        self._reconnect_count = 0
         self._unreached_at_s[endpoint] = now_s
         self._unreached_at_s = {
-            key: at_s for key, at_s in self._unreached_at_s.items() if now_s < at_s + REMEMBERED_S
+            key: at_s
+            for key, at_s in self._unreached_at_s.items()
+            if now_s < at_s + FAILURE_MEMORY_S
         }
-        if self.is_lost or self._looks_since_s is not None or now_s < self._looked_at_s + LOOKED_S:
+        if (
+            self.is_lost
+            or self._probing_since_s is not None
+            or now_s < self._probed_at_s + LOOKED_S
+        ):
             return False
-        if len(self._unreached_at_s) < _least(size):
+        if len(self._unreached_at_s) < _min_suspects(size):
             return False
-        self._looks_since_s = now_s
+        self._probing_since_s = now_s
         return True
 
     @property
     def is_looked_at(self) -> bool:
-        """Tell whether others are being tried now."""
-        return self._looks_since_s is not None
+        """Whether a probe is running."""
+        return self._probing_since_s is not None
 
     def looked(self, *, is_reached: bool, now_s: float) -> bool:
-        """Note whether a look reached any endpoint; tell whether the way is lost by that."""
-        since_s, self._looks_since_s = self._looks_since_s, None
+        """Record whether a probe reached an endpoint. Return whether the path is now lost."""
+        since_s, self._probing_since_s = self._probing_since_s, None
         if is_reached or since_s is None or self._connected_at_s >= since_s:
-            self._looked_at_s = now_s
+            self._probed_at_s = now_s
             self._connected_at_s = now_s
             self._unreached_at_s.clear()
             return False
         self.is_lost = True
-        self._reached_count = 0
-        self._least_reached = 2 if now_s < self._back_at_s + FLAPPING_S else 1
-        # The failures were the way's, not the endpoints'.
-        self._open.clear()
+        self._reconnect_count = 0
+        self._min_reconnects = 2 if now_s < self._recovered_at_s + FLAPPING_S else 1
+        # The pending failures were caused by the path, not by the endpoints.
+        self._pending_failures.clear()
         return True
 
     def connected(self, now_s: float) -> bool:
-        """Note that a connection to an endpoint was made; tell whether the way is there again."""
+        """Record a successful connection to an endpoint. Return whether the path has recovered."""
         self._connected_at_s = now_s
         if not self.is_lost:
             self._unreached_at_s.clear()
             return False
-        self._reached_count += 1
-        if self._reached_count < self._least_reached:
+        self._reconnect_count += 1
+        if self._reconnect_count < self._min_reconnects:
             return False
         self.is_lost = False
-        self._back_at_s = now_s
-        self._reached_count = 0
+        self._recovered_at_s = now_s
+        self._reconnect_count = 0
         self._unreached_at_s.clear()
         return True
 
     def asked(self, endpoint: str, now_s: float) -> None:
-        """Note a connection over which an answer is awaited."""
+        """Record that a request was sent to an endpoint, which hasn't responded yet."""
         self._silent_since_s.setdefault(endpoint, now_s)
 
     def silent(self, size: int, now_s: float) -> list[str]:
-        """Return the endpoints that have been silent for long, if they are enough for a doubt.
+        """Return the endpoints that have been silent too long, or none if too few are.
 
-        ``size`` is how many endpoints the pool has. No other one has answered since either.
+        ``size`` is the number of endpoints in the pool. A response of any endpoint in the pool
+        resets all.
         """
         since_s = self._silent_since_s.items()
-        silent = [key for key, at_s in since_s if at_s + SILENT_S <= now_s]
-        return silent if len(silent) >= _least(size) else []
+        silent = [key for key, at_s in since_s if at_s + SILENCE_LIMIT_S <= now_s]
+        return silent if len(silent) >= _min_suspects(size) else []
 
     def is_reached(self, now_s: float) -> bool:
-        """Tell whether a connection to any endpoint was made lately."""
-        return not self.is_lost and now_s < self._connected_at_s + REACHED_S
+        """Return whether a connection to any endpoint succeeded recently."""
+        return not self.is_lost and now_s < self._connected_at_s + CONNECTION_VALID_S
 
     def untold(self, endpoints: Iterable[str], now_s: float) -> list[str]:
-        """Return these endpoints if none of the pool has answered lately, asked or not."""
-        return list(endpoints) if self._answered_at_s + UNTOLD_S <= now_s else []
+        """Return ``endpoints`` if none of the pool responded recently, asked or not; else none."""
+        return list(endpoints) if self._answered_at_s + UNHEARD_LIMIT_S <= now_s else []
 
     def broken(self, size: int) -> list[str]:
-        """Return the endpoints whose attempts ended without a word, if enough for a doubt."""
-        return sorted(self._broken) if len(self._broken) >= _least(size) else []
+        """Return the endpoints whose attempts failed without a response, or none if too few did."""
+        return sorted(self._broken) if len(self._broken) >= _min_suspects(size) else []
 
     def mute(self) -> None:
-        """Take the way to be mute: endpoints that were asked whether they are well said nothing."""
+        """Mark the path as unresponsive, because health checks of its endpoints got no response."""
         self.is_mute = True
-        self._open.clear()
+        self._pending_failures.clear()
 
     def failed(self, endpoint: str, now_s: float) -> None:
-        """Note an attempt that ended without a word of its endpoint, or within its answer."""
+        """Record an attempt that failed before or during the response of its endpoint."""
         if endpoint not in self._unreached_at_s:
             self._broken.add(endpoint)
         if not (self.is_lost or self.is_mute):
-            self._open.append(Failure(endpoint, now_s))
+            self._pending_failures.append(Failure(endpoint, now_s))
 
     def answered(self, endpoint: str, now_s: float) -> list[str]:
-        """Note an answer's head; return the endpoints of failures that were not the way's.
+        """Record the header of a response. Return the endpoints whose failures the path didn't
+        cause.
 
-        Those are the ones that came before, at other endpoints, each as often as it failed.
+        These are the recent failures of other endpoints, with each endpoint as often as it failed.
         """
         self.is_mute = False
         self._answered_at_s = now_s
         self._silent_since_s.clear()
         self._broken.clear()
-        recent = [each for each in self._open if now_s < each.at_s + AWAITED_S]
-        self._open = [each for each in recent if each.endpoint == endpoint]
+        recent = [each for each in self._pending_failures if now_s < each.at_s + PENDING_FAILURE_S]
+        self._pending_failures = [each for each in recent if each.endpoint == endpoint]
         return [each.endpoint for each in recent if each.endpoint != endpoint]
 
 
-def _least(size: int) -> int:
-    """Return how many of a pool's endpoints, of which there are ``size``, speak for the way."""
-    return max(1, min(LEAST_FAILED, size))
+def _min_suspects(size: int) -> int:
+    """Return how many endpoints of a pool of ``size`` must fail for the path to be suspected."""
+    return max(1, min(MIN_FAILED_ENDPOINTS, size))
--- a/src/croftpulley/core/room.py
+++ b/src/croftpulley/core/room.py
@@ -1,36 +1,39 @@
-"""How many requests an engine may have before the less urgent are refused.
+"""Load limits of engines above which requests are refused, the less urgent ones first.
 
-Where most of a pool rests, turns requests away or is gone, the few that are left get all that comes
-for all. What an engine runs beyond its slots waits there, the least urgent to its deadline, and the
-memory that they take makes the others begin again. Whoever has no room anywhere is better off
-refused at once.
+When most of a pool is resting, refuses requests or is down, the few remaining engines get all of
+its requests. What an engine gets beyond its slots waits there, the least urgent until their
+deadline, and the memory that they take makes other requests start over. A request that no engine
+has room for had better be refused at once.
 """
 
 from __future__ import annotations
 
 from croftpulley.core import permits
 
-_EXTRA = 0.5
-"""Of its slots that the most urgent requests may wait beside it; the least urgent may not."""
+_MAX_QUEUE_RATIO = 0.5
+"""How many of the most urgent requests may wait at an engine, relative to its slots. The least
+urgent may not wait at all."""
 _LEAST_URGENT = 9
 
 
 def most_load(slots: int, urgency: int) -> float:
-    """Return how many requests of all boxes an engine may have for one more to go there.
+    """Return how many requests of all boxes an engine may have after one more goes there.
 
-    ``slots`` are those of one engine, 0 where that is not known; ``urgency`` is from 0, the first,
-    to 9.
+    ``slots`` is how many requests the engine runs at once, or 0 where that isn't known: then there
+    is no limit. ``urgency`` runs from 0, the most urgent, to 9.
 
     >>> most_load(64, 0), most_load(64, 9), most_load(0, 9)
     (96.0, 64.0, inf)
     """
     if not slots:
         return float("inf")
-    return slots * (1 + _EXTRA * (_LEAST_URGENT - urgency) / _LEAST_URGENT)
+    return slots * (1 + _MAX_QUEUE_RATIO * (_LEAST_URGENT - urgency) / _LEAST_URGENT)
 
 
 def most_at_all(slots: int) -> float:
-    """Return how many requests an endpoint may have where boxes share the room of its pool.
+    """Return how many requests an endpoint may have where boxes share the capacity of its pool.
+
+    Without known slots (0) there is no limit.
 
     >>> most_at_all(4), most_at_all(0)
     (12.0, inf)
--- a/src/croftpulley/core/selection.py
+++ b/src/croftpulley/core/selection.py
@@ -1,12 +1,12 @@
-"""Which endpoint a forwarded request goes to.
-
-A request with a prompt goes to the least busy of the engines that likely hold its whole shared
-beginning, unless they are far busier than the others. If none may take it, it goes to the engine
-that can begin its answer soonest: each has prompts to read before it, and lacks more or less of
-this one, some of which it may fetch from another engine. Reading and fetching count more than their
-time, since they also push other prompts out and hold up what runs beside them. Among engines alike,
-rendezvous hashing of the last shared part decides, so that all routers choose alike. Requests
-without a shared part go to the least busy endpoint.
+"""Selects the endpoint for a forwarded request.
+
+A request with a prompt goes to the least busy engine among those that likely cache its whole shared
+prefix, unless these are far busier than the others. If no such engine may take it, it goes to the
+engine with the lowest cost to start its response: each engine has prompts queued for prefill and
+lacks more or less of this one, some of which it can fetch from another engine. Prefilling and
+fetching are weighted above their duration, because they also evict other prompts from the cache and
+delay the requests that run beside them. Rendezvous hashing of the last shared part breaks ties, so
+that all routers choose alike. Requests without a shared prefix go to the least busy endpoint.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """An endpoint that may take the request; ``load`` is what all boxes have in flight there.
-
-    ``name`` is its key, which names one life of it. ``avoid_until_s`` is when it may be trusted
-    again after a failure, ``withdrawn_until_s`` when it takes requests again by its own words, and
-    ``is_full`` tells that it has as many of this box as it should have since it rested.
-    ``own_load`` is this box's own part of the load, which is known as it is.
-    ``reading_tokens`` are the prompt tokens that it still has to read for others, ``held_tokens``
-    those of this prompt that it likely holds.
+    """An endpoint that may take the request.
+
+    ``name`` is the endpoint's key, which identifies one incarnation of it. ``load`` is what all
+    boxes have in flight there, and ``own_load`` this box's part of it, which is always up to date.
+    ``avoid_until_s`` is when the endpoint may be used again after a failure, and
+    ``withdrawn_until_s`` when it accepts requests again by its own announcement. ``is_full`` is
+    whether it has as many requests of this box as it should have since it rested.
+    ``reading_tokens`` are the prompt tokens that it still has to prefill for other requests,
+    ``held_tokens`` those of this prompt that it likely caches.
     """
 
     name: str
@@ -44,16 +45,19 @@
 
 @attrs.frozen(kw_only=True)
 class Spill:
-    """When an endpoint is too busy, however well it would suit.
+    """The load above which an endpoint is passed over, even if it caches the prompt.
 
-    Above ``multiple`` times the mean plus ``slack`` requests another is taken.
+    The limit is ``multiple`` times the mean load plus ``slack`` requests.
     """
 
     multiple: float = 1.5
     slack: float = 2.0
 
     def fit(self, candidates: Sequence[Candidate]) -> list[Candidate]:
-        """Return those that may take one more; if none may, the least busy ones."""
+        """Return the candidates, of which there must be some, that may take one more request.
+
+        The least busy candidates are always among them.
+        """
         loads = [each.load for each in candidates]
         most = max(self.multiple * sum(loads) / len(loads) + self.slack, min(loads) + 1)
         return [each for each in candidates if each.load + 1 <= most]
@@ -61,23 +65,24 @@
 
 @attrs.frozen(kw_only=True)
 class Rates:
-    """How fast engines work: from the users' sheets, where both engines are much alike.
+    """Costs of work at an engine, from the users' data sheets, where both engines are much alike.
 
-    ``read_tokens_a_ms`` of a prompt; ``fetch_tokens_a_ms`` from another engine; ``read_weight``
-    is how much more a token read or fetched counts than the time it takes; ``load_ms`` and
-    ``rank_ms`` are what a request in flight and a place in the hashed order count.
+    ``prefill_tokens_per_ms`` is the prefill rate and ``fetch_tokens_per_ms`` the transfer rate from
+    another engine. ``work_weight`` multiplies the time of prefilling and fetching. ``load_cost_ms``
+    is the cost of one request in flight, ``rank_cost_ms`` that of one position in the rendezvous
+    order.
     """
 
     read_tokens_a_ms: float = 40.0
-    fetch_tokens_a_ms: float = 140.0
-    read_weight: float = 2.0
-    load_ms: float = 4.0
-    rank_ms: float = 6.0
+    fetch_tokens_per_ms: float = 140.0
+    work_weight: float = 2.0
+    load_cost_ms: float = 4.0
+    rank_cost_ms: float = 6.0
 
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """What is to be read, how much of it others share, and what the hashing looks at."""
+    """The size of a prompt and of its shared prefix, and the key for rendezvous hashing."""
 
     key: str
     tokens: int
@@ -85,7 +90,7 @@
 
     @classmethod
     def of(cls, facts: calls.CallFacts) -> Prompt:
-        """Return the prompt of a request whose beginning others share."""
+        """Return the prompt of a request that has a shared prefix."""
         return cls(
             key=facts.shared[-1].part,
             tokens=facts.prompt_tokens,
@@ -95,19 +100,19 @@
 
 @attrs.frozen(kw_only=True)
 class Reading:
-    """What an engine must do for a prompt."""
+    """The work of an engine to process a prompt: tokens to fetch and tokens to prefill."""
 
     fetched_tokens: int
     read_tokens: int
 
-    def own_ms(self, rates: Rates) -> float:
-        """Return how long it takes once it is the prompt's turn."""
-        fetching_ms = self.fetched_tokens / rates.fetch_tokens_a_ms
+    def duration_ms(self, rates: Rates) -> float:
+        """Return how long the work takes, not counting the wait for other prompts."""
+        fetching_ms = self.fetched_tokens / rates.fetch_tokens_per_ms
         return fetching_ms + self.read_tokens / rates.read_tokens_a_ms
 
 
 def reading(prompt: Prompt, candidate: Candidate, most_held_tokens: int) -> Reading:
-    """Return what ``candidate`` must read where another engine holds ``most_held_tokens``.
+    """Return the work of ``candidate`` if some engine caches ``most_held_tokens`` of the prompt.
 
     >>> prompt = Prompt(key="p", tokens=900, shared_tokens=800)
     >>> reading(prompt, Candidate(name="e", hall="a", load=0, held_tokens=300), 800)
@@ -120,9 +125,10 @@
 
 
 def trusted(candidates: Sequence[Candidate], now_s: float) -> list[Candidate]:
-    """Return those not to be avoided; if all are, the one whose time ends first.
+    """Return the candidates that needn't be avoided, or else the one to be avoided least long.
 
-    Suspicion alone must never leave a request without an endpoint.
+    Suspicion alone must never leave a request without an endpoint. The result is empty only if
+    there are no candidates.
     """
     good = [each for each in candidates if each.avoid_until_s <= now_s]
     if good or not candidates:
@@ -133,10 +139,11 @@
 def for_prompt(
     prompt: Prompt, fit: Sequence[Candidate], most_held_tokens: int, rates: Rates
 ) -> Candidate:
-    """Choose a holder, else the engine that can begin soonest.
+    """Choose the least busy engine with the shared prefix, or else the one with the lowest cost.
 
-    ``fit`` are those that may take one more (`Spill.fit`), at least one. ``most_held_tokens`` is
-    how much of the prompt any engine holds, also one that is leaving.
+    ``fit`` are the candidates that may take one more request (`OverloadLimit.eligible`), at least
+    one. ``most_held_tokens`` is the most that any engine caches of the prompt, including leaving
+    engines.
     """
     holders = [each for each in fit if each.held_tokens >= prompt.shared_tokens]
     if holders:
@@ -144,9 +151,9 @@
 
     def cost_ms(rank: int, candidate: Candidate) -> float:
         wait_ms = candidate.reading_tokens / rates.read_tokens_a_ms
-        own_ms = reading(prompt, candidate, most_held_tokens).own_ms(rates)
-        tie_ms = rates.load_ms * candidate.load + rates.rank_ms * rank
-        return wait_ms + rates.read_weight * own_ms + tie_ms
+        own_ms = reading(prompt, candidate, most_held_tokens).duration_ms(rates)
+        load_and_rank_ms = rates.load_cost_ms * candidate.load + rates.rank_cost_ms * rank
+        return wait_ms + rates.work_weight * own_ms + load_and_rank_ms
 
     by_name = {each.name: each for each in fit}
     ranked = [by_name[name] for name in choice.order(prompt.key, by_name)]
@@ -155,9 +162,10 @@
 
 
 def kept_since(age_s: float, hold_s: float) -> float:
-    """Return how much of the loads that were heard some time ago still holds.
+    """Return the fraction of a load received ``age_s`` ago that still applies.
 
-    That is the part of the requests there which has not ended, where one lasts for ``hold_s``.
+    It is the expected fraction of the requests that haven't ended, with a mean duration of
+    ``hold_s``.
 
     >>> kept_since(0.0, 0.1), round(kept_since(0.2, 0.1), 2), kept_since(0.2, 0.0)
     (1.0, 0.14, 0.0)
@@ -166,12 +174,13 @@
 
 
 def evenly(key: str, candidates: Sequence[Candidate], kept: float) -> Candidate:
-    """Choose among endpoints whose loads by others were heard some time ago.
+    """Choose a candidate when the loads of other boxes may be out of date.
 
-    Where requests end sooner than loads are told, the endpoint that looked idle has long got those
-    of all boxes that heard so. ``kept`` is from `kept_since`: by so much
-    differences count, and one of less than a request is none. Among those alike the request's own
-    hash decides, so that boxes do not all choose the same.
+    When requests end sooner than loads are distributed, an endpoint that looked idle has since
+    received requests from all boxes that saw it idle. ``kept`` is the result of
+    `remaining_load_fraction` and scales the differences in load of other boxes. Differences of less
+    than one request are ignored. Among equals the hash of the request's ``key`` decides, so that
+    boxes don't all choose the same endpoint.
 
     >>> idle = Candidate(name="idle", hall="a", load=0)
     >>> busy = Candidate(name="busy", hall="a", load=9)
@@ -188,7 +197,10 @@
 
 
 def least_busy(key: str, candidates: Sequence[Candidate], hall: str) -> Candidate:
-    """Choose the least busy; among equals one in ``hall``, then by the key's own order."""
+    """Choose the least busy candidate.
+
+    Among equals one in ``hall`` is preferred, then the first in the rendezvous order of ``key``.
+    """
     fewest = min(each.load for each in candidates)
     equals = [each for each in candidates if each.load == fewest]
     near = [each for each in equals if each.hall == hall] or equals
--- a/src/croftpulley/core/tables.py
+++ b/src/croftpulley/core/tables.py
@@ -1,6 +1,6 @@
-"""A configuration made ready for look-ups: routes by host and path, workspaces by key.
+"""Look-up tables of a configuration: routes by host and path, workspaces by key.
 
-A look-up costs as much as the path has segments, whatever the number of routes.
+A look-up takes time proportional to the segments of the path, not to the number of routes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """Finds the route of a request.
+    """Finds the route of a request by host and longest path prefix.
 
     >>> slow = fleet.Route(name="a", host="x", path_prefix="/", kind=fleet.RouteKind.ONCE,
     ...                    shares=(), time_limit_ms=1.0)
@@ -30,7 +30,10 @@
             prefixes[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> fleet.Route | None:
-        """Return the route with the longest prefix of ``path``; a port in ``host`` is ignored."""
+        """Return the route with the longest prefix of ``path``, or ``None``.
+
+        A port in ``host`` is ignored.
+        """
         name = host.lower()
         prefixes = self._by_host.get(name) or self._by_host.get(name.partition(":")[0])
         if prefixes is None:
@@ -44,7 +47,7 @@
 
 
 class Tables:
-    """All look-ups of one configuration."""
+    """All look-up tables of one configuration."""
 
     def __init__(self, configuration: fleet.FleetConfiguration) -> None:
         self.configuration = configuration
@@ -53,32 +56,32 @@
         self.workspaces = {
             key: workspace for workspace in configuration.workspaces for key in workspace.keys
         }
-        self._homes = _homes_by_host(configuration.routes)
+        self._home_regions = _home_regions_by_host(configuration.routes)
         self.split_pools = frozenset(
             share.pool
             for route in configuration.routes
             if route.is_resumable_stream and route.is_split
             for share in route.shares
         )
-        """Pools of resumable streams whose pool the route alone does not tell."""
+        """Pools of resumable streams whose route sends requests to several pools."""
         self.arms = arms.Arms(tuple(fleet.made_arm(arm) for arm in configuration.arms))
 
     def homes_of_host(self, host: str) -> frozenset[str]:
-        """Return the home regions of all routes of a host."""
-        return self._homes.get(host.lower().partition(":")[0], frozenset())
+        """Return the home regions of all routes of a host, or an empty set."""
+        return self._home_regions.get(host.lower().partition(":")[0], frozenset())
 
     @property
     def keys_needed(self) -> bool:
-        """Tell whether a route that is not open needs a key."""
+        """Whether routes that aren't open require a key."""
         return bool(self.configuration.workspaces)
 
     @property
     def serve_without_lease(self) -> bool:
-        """Tell whether a box without a lease may serve any request: one that needs no key."""
+        """Whether a box without a lease may serve any requests: those that require no key."""
         return not self.keys_needed or any(route.open for route in self.configuration.routes)
 
 
-def _homes_by_host(routes: tuple[fleet.Route, ...]) -> dict[str, frozenset[str]]:
+def _home_regions_by_host(routes: tuple[fleet.Route, ...]) -> dict[str, frozenset[str]]:
     homes: dict[str, frozenset[str]] = {}
     for route in routes:
         if route.home_regions:
@@ -88,7 +91,10 @@
 
 
 def pool_for(route: fleet.Route, request_id: str) -> str:
-    """Return the pool that a request goes to: by its id, in proportion to the weights."""
+    """Return the pool for a request, chosen by a hash of its id in proportion to the weights.
+
+    Raises ``ValueError`` if no share of the route has a weight.
+    """
     total = sum(share.weight for share in route.shares)
     position = xxhash.xxh3_64_intdigest(request_id.encode()) % total
     for share in route.shares:
--- a/testing/core/test_admission.py
+++ b/testing/core/test_admission.py
@@ -11,8 +11,8 @@
 
 
 @given(st.integers(2, 8), st.lists(st.integers(0, 10_000), max_size=200))
-def test_no_interleaving_takes_an_engine_above_the_cap_and_one(engines, steps):
-    """With the exact mean at hand, every admission leaves its engine within cap x mean + 1."""
+def test_no_sequence_of_admissions_exceeds_cap_times_mean_plus_one(engines, steps):
+    """Holds for any order of starts and ends, as long as the mean is exact."""
     counts = [admission.EngineCount() for _ in range(engines)]
     for step in steps:
         count = counts[step % engines]
@@ -27,20 +27,20 @@
 
 
 @given(st.lists(st.integers(0, 50), min_size=1, max_size=20))
-def test_the_least_loaded_engine_is_always_admitted_on_fresh_evidence(loads):
+def test_least_loaded_engine_accepts_a_request_if_mean_evidence_is_current(loads):
     least = admission.EngineCount(outstanding=min(loads))
     evidence = sum(loads) / len(loads)
     limits = admission.Limits(cap_multiple=CAP, mean=0.0, mean_evidence=evidence)
     assert admission.refusal(least, limits, leaving=False) is None
 
 
-def test_a_leaving_engine_admits_nothing():
+def test_leaving_engine_accepts_nothing():
     limits = admission.Limits(cap_multiple=CAP, mean=100.0)
     code = admission.refusal(admission.EngineCount(), limits, leaving=True)
     assert code is codes.ResultCode.ENGINE_LEAVING
 
 
-def test_streams_left_by_an_earlier_owner_count():
+def test_streams_of_an_earlier_owner_count_as_load():
     count = admission.EngineCount(outstanding=1)
     count.ask()
     count.report(running=6)
@@ -50,8 +50,8 @@
     assert count.load == 1
 
 
-def test_a_request_that_ended_while_the_report_came_is_not_foreign():
-    # Counted once more, it sent the next turn of its chat to a cold engine.
+def test_request_that_ends_while_the_report_is_fetched_is_not_untracked():
+    # Counting it a second time sent the next turn of its chat to a cold engine.
     count = admission.EngineCount()
     count.enter()
     count.ask()
@@ -60,26 +60,26 @@
     assert count.load == 0
 
 
-def test_slots_bound_an_engine_below_the_cap():
+def test_slots_limit_an_engine_below_the_cap():
     limits = admission.Limits(cap_multiple=CAP, mean=100.0, slots=2)
     assert admission.refusal(admission.EngineCount(2), limits, leaving=False) is not None
 
 
-def test_the_mean_counts_this_box_as_it_is_now():
-    # A surge of 10 at one box was refused against the mean of half a second before.
+def test_mean_uses_the_current_load_of_this_box():
+    # A surge of 10 requests at one box was refused against a mean that was half a second old.
     heard = membership.PoolLoad("llm", 0, 4)
     reported = membership.PoolLoad("llm", 0, 2)
     assert admission.fresh_mean(heard, reported, membership.PoolLoad("llm", 10, 2)) == 2.5
 
 
-def test_the_mean_counts_engines_whose_owner_has_not_reported_yet():
-    # Two of three engines had reported, and 12 to 14 requests went where 11 were allowed.
+def test_mean_includes_engines_whose_owner_has_not_reported_yet():
+    # With two of three engines reported, 12 to 14 requests were admitted where 11 were allowed.
     nothing = membership.PoolLoad("llm", 0, 0)
     mine = membership.PoolLoad("llm", 18, 2)
     assert admission.fresh_mean(nothing, nothing, mine, listed_engines=3) == 6.0
 
 
-def test_a_workspace_at_its_limit_does_not_keep_others_out():
+def test_workspace_at_its_limit_does_not_block_other_workspaces():
     in_flight = streams.InFlight(streams_limit=3)
     assert in_flight.enter("large", 1) is None
     assert in_flight.enter("large", 1) is codes.ResultCode.WORKSPACE_LIMIT
@@ -88,7 +88,7 @@
     assert in_flight.enter("large", 1) is None
 
 
-def test_a_full_box_refuses_everyone():
+def test_box_at_its_stream_limit_refuses_every_workspace():
     in_flight = streams.InFlight(streams_limit=1)
     in_flight.enter("large", 5)
     assert in_flight.enter("small", 5) is codes.ResultCode.TOO_MANY_STREAMS
--- a/testing/core/test_cold.py
+++ b/testing/core/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold endpoints: all boxes together send no more than one takes, whatever comes between them."""
+"""Quotas of cold endpoints: all boxes together never exceed the rate that an endpoint takes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Leaders that allot and boxes that send as often as they may, in virtual time."""
+    """Leaders that allocate quotas and boxes that send as much as allowed, in virtual time."""
 
     def __init__(self, takes_per_s=TAKES_PER_S):
         self.takes_per_s = takes_per_s
@@ -22,44 +22,44 @@
         self.leader = cold.Allotments()
         self.leader.begin(self.now_s - 10.0)
         self.live = BOXES
-        self.paces = {box: cold.Pace() for box in BOXES}
-        self.allotted = {box: (0, 0.0) for box in BOXES}
-        self.leaving = []
+        self.limiters = {box: cold.Pace() for box in BOXES}
+        self.quotas = {box: (0, 0.0) for box in BOXES}
+        self.unsent = []
         self.sent_s = []
 
     def renew(self, box, delay_s=0.0):
-        """Have a box renew; the answer takes effect though it left ``delay_s`` before."""
+        """Renew the quota of a box; the request for it was sent ``delay_s`` earlier."""
         count = self.leader.a_second("e", self.takes_per_s, box, self.live, self.now_s)
-        self.allotted[box] = (count, self.now_s - delay_s + cold.ALLOTTED_S)
+        self.quotas[box] = (count, self.now_s - delay_s + cold.ALLOTTED_S)
 
-    def send(self, box, holds_back_s=0.0):
-        """Have a box send what it may; each request leaves some time after it was decided on."""
-        count, until_s = self.allotted[box]
+    def send(self, box, send_delay_s=0.0):
+        """Send all that a box may send; each request leaves ``send_delay_s`` after its check."""
+        count, until_s = self.quotas[box]
         while self.now_s < until_s:
-            departure = self.paces[box].take("e", count, self.now_s)
+            departure = self.limiters[box].take("e", count, self.now_s)
             if departure is None:
                 return
-            self.leaving.append((self.now_s + holds_back_s, departure))
+            self.unsent.append((self.now_s + send_delay_s, departure))
 
-    def pass_time(self, steps):
+    def advance(self, steps):
         for _ in range(steps):
             self.now_s += STEP_S
-            due = [each for each in self.leaving if each[0] <= self.now_s]
-            self.leaving = [each for each in self.leaving if each[0] > self.now_s]
+            due = [each for each in self.unsent if each[0] <= self.now_s]
+            self.unsent = [each for each in self.unsent if each[0] > self.now_s]
             for _, departure in due:
                 departure.at_s = self.now_s
                 self.sent_s.append(self.now_s)
 
     def restart(self, box):
-        """A box forgets what it sent and was allotted."""
-        self.paces[box] = cold.Pace.started(self.now_s)
-        self.allotted[box] = (0, 0.0)
+        """Restart a box, which loses its quota and the record of what it sent."""
+        self.limiters[box] = cold.Pace.started(self.now_s)
+        self.quotas[box] = (0, 0.0)
 
-    def lead_anew(self):
+    def change_leader(self):
         self.leader = cold.Allotments()
         self.leader.begin(self.now_s)
 
-    def most_in_a_second(self):
+    def max_in_any_second(self):
         window_s = cold.WINDOW_S
         return max(
             (sum(at_s <= x < at_s + window_s for x in self.sent_s) for at_s in self.sent_s),
@@ -72,7 +72,7 @@
         st.tuples(st.just("renew"), st.sampled_from(BOXES), st.floats(0, 0.4)),
         st.tuples(st.just("send"), st.sampled_from(BOXES), st.sampled_from((0.0, 0.0, 0.04))),
         st.tuples(st.just("pass"), st.integers(1, 30)),
-        st.tuples(st.just("lead anew")),
+        st.tuples(st.just("change leader")),
         st.tuples(st.just("restart"), st.sampled_from(BOXES)),
         st.tuples(st.just("live"), st.sets(st.sampled_from(BOXES), min_size=1)),
     ),
@@ -82,7 +82,7 @@
 
 @settings(max_examples=400, deadline=None)
 @given(EVENTS, st.sampled_from((0.3, 1.0, 4.0, 9.6, 25.0)))
-def test_no_interleaving_sends_more_in_a_second_than_the_endpoint_takes(events, takes_per_s):
+def test_no_sequence_of_events_exceeds_the_rate_that_the_endpoint_takes(events, takes_per_s):
     fleet = Fleet(takes_per_s)
     for name, *arguments in events:
         match name:
@@ -91,31 +91,31 @@
             case "send":
                 fleet.send(*arguments)
             case "pass":
-                fleet.pass_time(*arguments)
-            case "lead anew":
-                fleet.lead_anew()
+                fleet.advance(*arguments)
+            case "change leader":
+                fleet.change_leader()
             case "restart":
                 fleet.restart(*arguments)
             case "live":
                 fleet.live = tuple(sorted(arguments[0]))
-    fleet.pass_time(5)
-    assert fleet.most_in_a_second() <= max(1, int(takes_per_s))
+    fleet.advance(5)
+    assert fleet.max_in_any_second() <= max(1, int(takes_per_s))
 
 
 @pytest.mark.parametrize("takes_per_s", [1.0, 4.0, 9.6, 25.0])
-def test_boxes_with_enough_to_send_use_all_that_it_takes(takes_per_s):
+def test_boxes_with_enough_demand_use_most_of_the_rate(takes_per_s):
     fleet = Fleet(takes_per_s)
     for _ in range(200):
         for box in BOXES:
             fleet.renew(box)
             fleet.send(box)
-        fleet.pass_time(1)
+        fleet.advance(1)
     seconds = 200 * STEP_S
-    # A request counts for a tenth of a second more than it must, and whole ones are divided.
+    # A request counts for 0.1 s longer than the window, and quotas are whole numbers.
     assert len(fleet.sent_s) >= 0.75 * int(takes_per_s) * seconds
 
 
-def test_several_cold_endpoints_are_open_to_different_boxes():
+def test_cold_endpoints_are_open_to_different_boxes():
     leader = cold.Allotments()
     boxes = tuple(f"box-{number}" for number in range(40))
     open_to = {
@@ -126,7 +126,7 @@
     assert len(frozenset().union(*open_to.values())) > 4
 
 
-def test_what_nobody_may_use_any_more_is_forgotten():
+def test_expired_quotas_are_dropped():
     leader = cold.Allotments()
     leader.a_second("e", 4.0, "box-1", BOXES, 0.0)
     for box in BOXES:
--- a/testing/core/test_listed.py
+++ b/testing/core/test_listed.py
@@ -1,4 +1,4 @@
-"""Lives of endpoints: which is believed in, and what is remembered of them."""
+"""Incarnations of endpoints: which one counts, and what is kept of each."""
 
 from __future__ import annotations
 
@@ -16,61 +16,65 @@
     return membership.Endpoint(name, kind, "desk", address, "a", name, leaving, at_ms)
 
 
-def starts(endpoints):
+def names_and_starts(endpoints):
     return [(each.name, each.born_ms) for each in endpoints]
 
 
 class TestListed:
-    """What is believed of a list that lags."""
+    """Resolution of incarnations from a list that lags."""
 
-    def test_the_later_of_two_lives_holds_in_any_order(self):
+    def test_the_later_of_two_incarnations_counts_in_any_order(self):
         for order in ((1, 2), (2, 1)):
-            assert starts(listed.Listed().take([born(at) for at in order], 0.0)) == [("w", 2)]
-
-    def test_a_page_that_lags_brings_no_older_life_back(self):
-        believed = listed.Listed()
-        believed.take([born(1)], 0.0)
-        believed.take([born(2)], 1.0)
-        assert starts(believed.take([born(1)], 1.0 + PAGE_LAG_S)) == [("w", 2)]
-        assert starts(believed.take([born(2)], 2.0 + PAGE_LAG_S)) == [("w", 2)]
-
-    def test_a_life_listed_for_long_is_not_replaced_at_once(self):
-        believed = listed.Listed()
+            assert names_and_starts(listed.Listed().take([born(at) for at in order], 0.0)) == [
+                ("w", 2)
+            ]
+
+    def test_stale_page_does_not_restore_an_older_incarnation(self):
+        tracker = listed.Listed()
+        tracker.take([born(1)], 0.0)
+        tracker.take([born(2)], 1.0)
+        assert names_and_starts(tracker.take([born(1)], 1.0 + PAGE_LAG_S)) == [("w", 2)]
+        assert names_and_starts(tracker.take([born(2)], 2.0 + PAGE_LAG_S)) == [("w", 2)]
+
+    def test_older_incarnation_does_not_replace_a_long_listed_one_at_once(self):
+        tracker = listed.Listed()
         for now_s in range(100):
-            believed.take([born(2)], float(now_s))
-        assert starts(believed.take([born(1)], 100.0)) == [("w", 2)]
-
-    def test_an_endpoint_whose_clock_was_set_back_is_believed_in_the_end(self):
-        believed = listed.Listed()
-        believed.take([born(5_000)], 0.0)
-        seen = [starts(believed.take([born(1_000)], float(now_s))) for now_s in range(1, 12)]
+            tracker.take([born(2)], float(now_s))
+        assert names_and_starts(tracker.take([born(1)], 100.0)) == [("w", 2)]
+
+    def test_endpoint_whose_clock_was_set_back_is_accepted_eventually(self):
+        tracker = listed.Listed()
+        tracker.take([born(5_000)], 0.0)
+        seen = [
+            names_and_starts(tracker.take([born(1_000)], float(now_s))) for now_s in range(1, 12)
+        ]
         assert seen[0] == [("w", 5_000)]
         assert seen[-1] == [("w", 1_000)]
 
-    def test_leaving_is_of_one_life_only(self):
-        believed = listed.Listed()
-        believed.take([born(1, leaving=True)], 0.0)
-        assert believed.take([born(1)], 1.0)[0].leaving
-        assert not believed.take([born(2)], 2.0)[0].leaving
-
-    def test_a_life_that_says_that_it_leaves_does_whatever_the_list_says(self):
-        believed = listed.Listed()
-        believed.take([born(1), born(1, "v")], 0.0)
-        assert starts(believed.leave([born(1).key, "unknown"])) == [("w", 1)]
-        assert believed.leave([born(1).key]) == ()
-        taken = believed.take([born(1), born(1, "v")], 1.0)
+    def test_leaving_applies_to_one_incarnation_only(self):
+        tracker = listed.Listed()
+        tracker.take([born(1, leaving=True)], 0.0)
+        assert tracker.take([born(1)], 1.0)[0].leaving
+        assert not tracker.take([born(2)], 2.0)[0].leaving
+
+    def test_incarnation_marked_as_leaving_stays_so_whatever_the_list_says(self):
+        tracker = listed.Listed()
+        tracker.take([born(1), born(1, "v")], 0.0)
+        assert names_and_starts(tracker.leave([born(1).key, "unknown"])) == [("w", 1)]
+        assert tracker.leave([born(1).key]) == ()
+        taken = tracker.take([born(1), born(1, "v")], 1.0)
         assert [(each.name, each.leaving) for each in taken] == [("w", True), ("v", False)]
-        assert not believed.take([born(2)], 2.0)[0].leaving
+        assert not tracker.take([born(2)], 2.0)[0].leaving
 
-    def test_two_entries_of_one_life_are_one_that_leaves_if_either_says_so(self):
+    def test_duplicate_entries_are_merged_and_leaving_if_either_is(self):
         taken = listed.Listed().take([born(1), born(1, leaving=True)], 0.0)
         assert [each.leaving for each in taken] == [True]
 
-    def test_a_list_without_starts_is_taken_as_it_is(self):
-        believed = listed.Listed()
+    def test_list_without_start_times_is_accepted_unchanged(self):
+        tracker = listed.Listed()
         old = attrs.evolve(born(None), address="127.0.0.1:2")
-        assert believed.take([old], 0.0) == (old,)
-        assert believed.take([born(None)], 0.1) == (born(None),)
+        assert tracker.take([old], 0.0) == (old,)
+        assert tracker.take([born(None)], 0.1) == (born(None),)
 
     @given(
         st.lists(
@@ -80,18 +84,18 @@
             max_size=12,
         )
     )
-    def test_each_name_is_believed_once_and_never_goes_back_soon(self, readings):
-        believed = listed.Listed()
+    def test_each_name_is_returned_once_and_does_not_revert_early(self, readings):
+        tracker = listed.Listed()
         now_s = 0.0
         last: dict[str, tuple[int, float]] = {}
         for pause_s, entries in readings:
             now_s += pause_s
-            taken = believed.take([born(at, name) for name, at in entries], now_s)
+            taken = tracker.take([born(at, name) for name, at in entries], now_s)
             assert len({each.name for each in taken}) == len(taken)
             assert {each.name for each in taken} == {name for name, _ in entries}
             for each in taken:
                 latest, at_s = last.get(each.name, (0, 0.0))
-                assert each.born_ms >= latest or now_s - at_s >= listed.OLDER_DOUBTED_S
+                assert each.born_ms >= latest or now_s - at_s >= listed.STALE_INCARNATION_S
                 shown = max(at for name, at in entries if name == each.name)
                 if shown >= latest or each.born_ms != latest:
                     last[each.name] = (each.born_ms, now_s)
@@ -121,7 +125,7 @@
 
 
 def apply(known, step, key, now_s):
-    """Do one thing that a router does, which may come late: after its life has ended."""
+    """Apply one action of a router, possibly after the incarnation has ended."""
     note = places.Note(f"part {key}", key or "")
     match step:
         case "keep":
@@ -144,26 +148,28 @@
 
 
 @given(st.lists(STEPS, max_size=30))
-def test_nothing_of_a_life_that_ended_survives(steps):
+def test_no_record_of_an_ended_incarnation_remains(steps):
     known = records.Records()
-    lives = None
+    live_keys = None
     for number, (step, key) in enumerate(steps):
         apply(known, step, key, float(number))
         if step == "keep":
-            lives = key
-        if lives is not None:
-            assert known.keys() <= lives
-            assert all(set(known.holders(f"part {key}", float(number))) <= lives for key in KEYS)
+            live_keys = key
+        if live_keys is not None:
+            assert known.keys() <= live_keys
+            assert all(
+                set(known.holders(f"part {key}", float(number))) <= live_keys for key in KEYS
+            )
 
 
-def test_what_a_life_said_is_kept_while_the_list_lacks_it():
+def test_notices_are_kept_while_the_list_omits_the_incarnation():
     known = records.Records()
     known.keep({"e@1", "f@1"}, 0.0)
     known.change("e@1", enter)
     known.hear("e@1", withdrawal.Notice(leaves=True), 0.0)
     known.hear("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
     known.keep({"g@1"}, 1.0)
-    # An answer that was on its way.
+    # A response that was in flight when the list omitted the endpoint.
     known.hear("e@1", withdrawal.Notice(rest_s=1.0, leaves=True), 1.0)
     known.keep({"e@1", "f@1"}, 2.0)
     assert known.in_flight() == {}
@@ -171,7 +177,7 @@
     assert set(known.withdrawn(5.0)) == {"e@1"}
 
 
-def test_a_life_that_takes_the_place_of_one_that_leaves_does_not_leave():
+def test_successor_of_a_leaving_incarnation_is_not_leaving():
     known = records.Records()
     known.keep({"e@1"}, 0.0)
     known.hear("e@1", withdrawal.Notice(rest_s=60.0, leaves=True), 0.0)
@@ -179,7 +185,7 @@
     assert "e@2" not in known.withdrawn(1.0)
 
 
-def test_what_lives_said_that_are_long_gone_is_forgotten():
+def test_notices_of_incarnations_that_are_long_gone_expire():
     known = records.Records()
     known.hear("e@1", withdrawal.Notice(leaves=True), 0.0)
     known.hear("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
@@ -190,7 +196,7 @@
     assert known.keys() == set()
 
 
-def test_a_life_listed_again_begins_anew():
+def test_incarnation_that_is_listed_again_starts_without_records():
     known = records.Records()
     known.change("e@1", enter)
     known.note_own(places.Note("p", "e@1"), 0.0)
@@ -201,7 +207,7 @@
     assert known.holders("p", 0.0) == []
 
 
-def test_records_that_say_nothing_are_dropped():
+def test_empty_records_are_dropped():
     known = records.Records()
     known.change("e@1", enter)
     known.change("e@1", leave)
@@ -209,7 +215,7 @@
 
 
 @given(st.dictionaries(st.sampled_from("abcdefgh"), st.integers(0, 9)), st.permutations("abcdef"))
-def test_counts_in_the_order_of_a_list_are_the_same_counts(counts, keys):
+def test_encoded_counts_decode_to_the_same_counts(counts, keys):
     numbers = listed_counts.in_order(counts, keys)
     expected = {key: count for key, count in counts.items() if count and key in keys}
     assert listed_counts.by_key(numbers, keys) == expected
--- a/testing/core/test_permits.py
+++ b/testing/core/test_permits.py
@@ -1,4 +1,4 @@
-"""The parts of all boxes come to a pool's room, and each renewal hands out what is left."""
+"""Shares of a pool's capacity: their total over all boxes, and how renewals divide the rest."""
 
 from __future__ import annotations
 
@@ -10,70 +10,69 @@
 
 from croftpulley.core import permits
 
-ROOM = 40.0
+CAPACITY = 40.0
 
 
-def heard(owns, index, room=ROOM):
-    return permits.Heard(own=owns[index], total=sum(owns), room=room, boxes=len(owns), at_s=0.0)
+def snapshot_of(owns, index, capacity=CAPACITY):
+    return permits.Heard(own=owns[index], total=sum(owns), room=capacity, boxes=len(owns), at_s=0.0)
 
 
 @given(st.lists(st.integers(0, 60), min_size=1, max_size=80))
-def test_boxes_that_heard_the_same_have_no_more_than_the_room_together(owns):
-    parts = [heard(owns, index).part(0.1) for index in range(len(owns))]
-    few = min(permits.FEW, max(0.0, ROOM - sum(owns)))
-    assert sum(parts) <= ROOM + few * len(owns) + 1e-9
+def test_shares_of_boxes_with_the_same_information_fit_the_capacity(owns):
+    shares = [snapshot_of(owns, index).part(0.1) for index in range(len(owns))]
+    few = min(permits.FEW, max(0.0, CAPACITY - sum(owns)))
+    assert sum(shares) <= CAPACITY + few * len(owns) + 1e-9
 
 
 @pytest.mark.parametrize("boxes", [1, 12, 80])
-@pytest.mark.parametrize("room", [40.0, 400.0])
-def test_all_that_want_room_use_it_whole_within_a_few_renewals(boxes, room):
+@pytest.mark.parametrize("capacity", [40.0, 400.0])
+def test_boxes_with_demand_use_the_capacity_within_a_few_renewals(boxes, capacity):
     owns = [0] * boxes
     owns[0] = 300
     for _ in range(12):
-        told = [heard(owns, index, room) for index in range(boxes)]
-        chances = [(index + 0.5) / boxes for index in range(boxes)]
+        snapshots = [snapshot_of(owns, index, capacity) for index in range(boxes)]
+        offsets = [(index + 0.5) / boxes for index in range(boxes)]
         owns = [
-            int(permits.whole(each.part(0.1), chance))
-            for each, chance in zip(told, chances, strict=True)
+            int(permits.whole(each.part(0.1), offset))
+            for each, offset in zip(snapshots, offsets, strict=True)
         ]
-    # Each box may always have one.
-    # Each box may always have one, and a few while room is left.
-    assert 0.8 * room <= sum(owns) <= max(1.1 * room, permits.FEW * boxes + room)
-    assert max(owns) <= 2.5 * room / boxes + permits.FEW
+    # Each box may always have one request, and a few while capacity is left.
+    assert 0.8 * capacity <= sum(owns) <= max(1.1 * capacity, permits.FEW * boxes + capacity)
+    assert max(owns) <= 2.5 * capacity / boxes + permits.FEW
 
 
-def test_a_box_alone_with_demand_gets_the_room_of_the_others():
+def test_the_only_box_with_demand_gets_the_capacity_of_the_others():
     owns = [0] * 10
     for _ in range(20):
-        owns[0] = int(permits.whole(heard(owns, 0, 100.0).part(0.1), 0.5))
+        owns[0] = int(permits.whole(snapshot_of(owns, 0, 100.0).part(0.1), 0.5))
     assert owns[0] >= 90
 
 
 @pytest.mark.parametrize("total", [0, 12])
-def test_callers_of_one_box_need_not_wait_for_each_other_beside_idle_slots(total):
-    told = permits.Heard(own=0, total=total, room=30.0, boxes=80, at_s=0.0)
-    assert permits.whole(told.part(0.1), 0.99) == permits.FEW
+def test_box_without_requests_gets_the_minimum_while_slots_are_idle(total):
+    snapshot = permits.Heard(own=0, total=total, room=30.0, boxes=80, at_s=0.0)
+    assert permits.whole(snapshot.part(0.1), 0.99) == permits.FEW
 
 
-def test_a_full_pool_leaves_each_of_many_boxes_one():
-    told = permits.Heard(own=1, total=80, room=30.0, boxes=80, at_s=0.0)
-    assert permits.whole(told.part(0.1), 0.99) == 1
+def test_each_of_many_boxes_gets_one_permit_in_a_full_pool():
+    snapshot = permits.Heard(own=1, total=80, room=30.0, boxes=80, at_s=0.0)
+    assert permits.whole(snapshot.part(0.1), 0.99) == 1
 
 
 @pytest.mark.parametrize("own", [0, 5, 10**9])
 @pytest.mark.parametrize("total", [0, 1, 10**12])
-def test_whatever_was_told_a_box_has_some_permits_and_never_more_than_the_room(own, total):
-    told = permits.Heard(own=own, total=total, room=ROOM, boxes=10, at_s=0.0)
-    part = told.part(0.1)
-    assert part <= ROOM
+def test_any_reported_load_leaves_a_permit_and_never_exceeds_the_capacity(own, total):
+    snapshot = permits.Heard(own=own, total=total, room=CAPACITY, boxes=10, at_s=0.0)
+    part = snapshot.part(0.1)
+    assert part <= CAPACITY
     assert permits.whole(part, 0.5) >= 1
 
 
-def test_loads_that_are_old_leave_an_even_part():
-    told = permits.Heard(own=30, total=31, room=ROOM, boxes=10, at_s=0.0)
-    assert told.part(permits.STALE_S) == ROOM / 10
+def test_out_of_date_loads_leave_an_even_share():
+    snapshot = permits.Heard(own=30, total=31, room=CAPACITY, boxes=10, at_s=0.0)
+    assert snapshot.part(permits.STALE_S) == CAPACITY / 10
 
 
-def test_a_pool_whose_slots_are_not_known_is_not_bounded():
-    told = permits.Heard(own=3, total=9, room=permits.room([6, 0], 0.25), boxes=10, at_s=0.0)
-    assert math.isinf(permits.whole(told.part(0.1), 0.5))
+def test_pool_with_unknown_slots_is_unlimited():
+    snapshot = permits.Heard(own=3, total=9, room=permits.room([6, 0], 0.25), boxes=10, at_s=0.0)
+    assert math.isinf(permits.whole(snapshot.part(0.1), 0.5))
--- a/testing/core/test_selection.py
+++ b/testing/core/test_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to."""
+"""Selection of the endpoint for a request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TestSelection:
-    """Which endpoint."""
+    """Choice among candidates by cached tokens, load and suspicion."""
 
     @staticmethod
     def candidates(loads, avoid=()):
@@ -31,7 +31,7 @@
         return selection.for_prompt(prompt, fit, most_held, selection.Rates())
 
     @given(st.lists(st.integers(0, 50), min_size=2, max_size=12), st.integers(0, 11))
-    def test_no_choice_takes_an_engine_far_above_the_mean(self, loads, holder):
+    def test_chosen_engine_is_within_the_load_limit_or_least_loaded(self, loads, holder):
         candidates = [
             attrs.evolve(each, held_tokens=900 if n == holder else 0)
             for n, each in enumerate(self.candidates(loads))
@@ -41,11 +41,11 @@
         most = spill.multiple * sum(loads) / len(loads) + spill.slack
         assert chosen.load + 1 <= most or chosen.load == min(loads)
 
-    def test_all_boxes_with_the_same_facts_choose_alike(self):
+    def test_choice_does_not_depend_on_the_order_of_candidates(self):
         same = self.candidates([3, 3, 3, 3])
         assert self.choose(same[::-1]) == self.choose(same)
 
-    def test_the_least_busy_holder_is_chosen_unless_it_is_far_busier_than_others(self):
+    def test_least_busy_engine_with_the_prefix_is_chosen_unless_far_busier_than_others(self):
         free = self.candidates([1, 1, 1, 1])
         holders = [attrs.evolve(each, held_tokens=8000) for each in free[2:]]
         assert self.choose([*free[:2], *holders], 8000, 8100).name == "e-2"
@@ -54,17 +54,17 @@
         far = [attrs.evolve(each, load=20) for each in holders]
         assert self.choose([*free[:2], *far], 8000, 8100).name in ("e-0", "e-1")
 
-    def test_without_a_holder_the_engine_with_less_to_read_is_chosen(self):
+    def test_engine_with_less_queued_prefill_is_chosen_if_none_has_the_prefix(self):
         reading = attrs.evolve(self.candidates([1, 1])[0], reading_tokens=20_000)
         assert self.choose([reading, self.candidates([1, 1])[1]], 0, 8100).name == "e-1"
 
-    def test_part_of_the_beginning_is_worth_waiting_for_unless_it_can_be_fetched(self):
+    def test_partly_cached_prefix_outweighs_waiting_unless_it_can_be_fetched(self):
         free = self.candidates([1, 1])
         part = attrs.evolve(free[0], held_tokens=4000, reading_tokens=6000)
         assert self.choose([part, free[1]], 0, 8100).name == "e-0"
         assert self.choose([part, free[1]], 4000, 8100).name == "e-1"
 
-    def test_new_prompts_spread_over_engines_that_are_reading(self):
+    def test_new_prompts_spread_over_engines_busy_with_prefill(self):
         candidates = self.candidates([0, 0, 0])
         chosen = set()
         for _ in range(3):
@@ -81,5 +81,5 @@
         (trusted,) = selection.trusted(self.candidates([1, 2], avoid=(0,)), 0.0)
         assert trusted.name == "e-1"
 
-    def test_among_the_least_busy_one_of_the_same_hall_is_taken(self):
+    def test_among_the_least_busy_one_in_the_same_hall_is_chosen(self):
         assert selection.least_busy("k", self.candidates([1, 1, 1, 1]), "a").hall == "a"
--- a/testing/core/test_tables.py
+++ b/testing/core/test_tables.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which pool of the route."""
+"""Look-up of a request's route and choice of a pool of that route."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TestRouteTable:
-    """Host and longest prefix."""
+    """Look-up by host and longest path prefix."""
 
     @given(st.lists(st.sampled_from(["a", "b", "ab"]), max_size=5))
     def test_the_longest_prefix_is_found_among_many(self, segments):
@@ -33,10 +33,10 @@
         assert found is not None
         assert found.name == expected
 
-    def test_another_host_has_no_route(self):
+    def test_unknown_host_has_no_route(self):
         assert tables.RouteTable((route("a", "h", "/"),)).find("i", "/") is None
 
-    def test_shares_get_requests_in_proportion(self):
+    def test_pools_get_requests_in_proportion_to_their_weights(self):
         shares = (fleet.Share(pool="a", weight=9), fleet.Share(pool="b", weight=1))
         split = fleet.Route(
             name="r",
