--- a/src/croftpulley/core/admission.py
+++ b/src/croftpulley/core/admission.py
@@ -18,13 +18,13 @@
     """
 
     outstanding: int = 0
-    foreign: int = 0
+    untracked: int = 0
     peak_since_query: int = 0
 
     @property
     def load(self) -> int:
         """Requests at the engine, tracked or not."""
-        return self.outstanding + self.foreign
+        return self.outstanding + self.untracked
 
     def enter(self) -> None:
         """Count a request that starts."""
@@ -46,18 +46,18 @@
         many requests of this owner as the peak since then. Only what exceeds that peak is
         untracked.
         """
-        self.foreign = max(0, running - self.peak_since_query)
+        self.untracked = max(0, running - self.peak_since_query)
 
     def forget_report(self) -> None:
         """Discard the untracked load of an engine that restarted.
 
         Requests of this owner that the restart broke are counted out as they fail.
 
-        >>> count = EngineCount(outstanding=2, foreign=5)
+        >>> count = EngineCount(outstanding=2, untracked=5)
         >>> count.forget_report(); count.load
         2
         """
-        self.foreign = 0
+        self.untracked = 0
 
 
 def fresh_mean(
@@ -101,7 +101,7 @@
     slots: int = 0
 
     @property
-    def most(self) -> float:
+    def max_requests(self) -> float:
         """The maximum number of requests that the engine may hold.
 
         The cap has one request on top so that an idle pool can accept its first requests.
@@ -121,6 +121,6 @@
     """
     if leaving:
         return codes.ResultCode.ENGINE_LEAVING
-    if count.load + 1 > limits.most:
+    if count.load + 1 > limits.max_requests:
         return codes.ResultCode.NO_CAPACITY
     return None
--- a/src/croftpulley/core/cold.py
+++ b/src/croftpulley/core/cold.py
@@ -22,7 +22,7 @@
 """The length of the sliding window in which requests are counted."""
 ALLOTTED_S = 1.0
 """How long a quota is valid. Three further renewals may fail before it expires."""
-MARGIN_S = 0.1
+CLOCK_MARGIN_S = 0.1
 """Allowance for clock drift while a quota is valid, and for a request that is sent late."""
 RETURNED_S = 2.5
 """How long the endpoints of a data hall that returns to service count as cold. They may have turned
@@ -89,7 +89,7 @@
         self._allocates_from_s = now_s + _QUOTA_HOLD_S
 
     def a_second(
-        self, endpoint: str, takes_per_s: float, box: str, boxes: Sequence[str], now_s: float
+        self, endpoint: str, max_per_s: float, box: str, boxes: Sequence[str], now_s: float
     ) -> int:
         """Renew the quota of ``box`` for ``endpoint`` and return how many requests it may send.
 
@@ -101,7 +101,7 @@
             return 0
         quota = self._by_endpoint.get(endpoint)
         if quota is None:
-            total = max(1, int(takes_per_s))
+            total = max(1, int(max_per_s))
             quota = _EndpointQuota(total, boxes, _divide(endpoint, total, boxes))
             self._by_endpoint[endpoint] = quota
         if quota.boxes != boxes:
@@ -118,7 +118,7 @@
                 del self._by_endpoint[endpoint]
 
 
-_QUOTA_HOLD_S = ALLOTTED_S + WINDOW_S + MARGIN_S
+_QUOTA_HOLD_S = ALLOTTED_S + WINDOW_S + CLOCK_MARGIN_S
 
 
 def _divide(endpoint: str, total: int, boxes: Sequence[str]) -> dict[str, int]:
@@ -151,41 +151,41 @@
     (False, True)
     """
 
-    from_s: float = float("-inf")
+    open_from_s: float = float("-inf")
     _sent: dict[str, list[Departure]] = attrs.field(factory=dict)
 
     @classmethod
     def started(cls, now_s: float) -> Pace:
         """Return the limiter of a box that starts now."""
-        return cls(now_s + WINDOW_S + MARGIN_S)
+        return cls(now_s + WINDOW_S + CLOCK_MARGIN_S)
 
-    def may_send(self, endpoint: str, a_second: int, now_s: float) -> bool:
+    def may_send(self, endpoint: str, quota_per_s: int, now_s: float) -> bool:
         """Return whether one more request is within the box's quota."""
-        since_s = now_s - WINDOW_S - MARGIN_S
+        since_s = now_s - WINDOW_S - CLOCK_MARGIN_S
         counted = [each for each in self._sent.get(endpoint, ()) if each.at_s > since_s]
         if counted:
             self._sent[endpoint] = counted
         else:
             self._sent.pop(endpoint, None)
-        return now_s >= self.from_s and len(counted) < a_second
+        return now_s >= self.open_from_s and len(counted) < quota_per_s
 
-    def take(self, endpoint: str, a_second: int, now_s: float) -> Departure | None:
+    def take(self, endpoint: str, quota_per_s: int, now_s: float) -> Departure | None:
         """Count a request against the quota; return its record, or ``None`` if the quota is used
         up.
 
         The request counts until the window has passed since ``sent_at_s`` of the record, which the
         sender sets.
         """
-        if not self.may_send(endpoint, a_second, now_s):
+        if not self.may_send(endpoint, quota_per_s, now_s):
             return None
         departure = Departure()
         self._sent.setdefault(endpoint, []).append(departure)
         return departure
 
 
-def told(a_second: Mapping[str, int]) -> dict[str, int]:
+def told(quotas_per_s: Mapping[str, int]) -> dict[str, int]:
     """Return quotas as they are sent to a box: each plus 1, because counts of 0 aren't sent."""
-    return {endpoint: count + 1 for endpoint, count in a_second.items()}
+    return {endpoint: count + 1 for endpoint, count in quotas_per_s.items()}
 
 
 def told_back(counts: Mapping[str, int]) -> dict[str, int]:
--- a/src/croftpulley/core/permits.py
+++ b/src/croftpulley/core/permits.py
@@ -112,7 +112,7 @@
         return max(own + left * fraction, min(self.few, own + left))
 
 
-def whole(part: float, chance: float) -> float:
+def whole(share: float, chance: float) -> float:
     """Round a share to a number of requests, at least one.
 
     ``chance``, from 0 to 1, differs between boxes: it makes as many of them round up as needed for
@@ -121,4 +121,4 @@
     >>> whole(1.6, 0.5), whole(1.6, 0.9), whole(0.1, 0.9)
     (2.0, 1.0, 1.0)
     """
-    return max(1.0, float(math.floor(part + 1 - chance))) if math.isfinite(part) else part
+    return max(1.0, float(math.floor(share + 1 - chance))) if math.isfinite(share) else share
--- a/src/croftpulley/core/reach.py
+++ b/src/croftpulley/core/reach.py
@@ -49,12 +49,12 @@
 class PoolReach:
     """Tracks the network path from this box to the endpoints of one pool, which are given by key.
 
-    >>> way = PoolReach()
-    >>> way.unreached("a", 3, 0.0), way.unreached("b", 3, 0.1)
+    >>> path = PoolReach()
+    >>> path.unreached("a", 3, 0.0), path.unreached("b", 3, 0.1)
     (False, True)
-    >>> way.looked(is_reached=False, now_s=0.2), way.is_lost
+    >>> path.looked(is_reached=False, now_s=0.2), path.is_lost
     (True, True)
-    >>> way.connected(0.3), way.is_lost
+    >>> path.connected(0.3), path.is_lost
     (True, False)
     """
 
--- a/src/croftpulley/core/selection.py
+++ b/src/croftpulley/core/selection.py
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Reading:
+class PrefillWork:
     """The work of an engine to process a prompt: tokens to fetch and tokens to prefill."""
 
     fetched_tokens: int
@@ -111,15 +111,15 @@
         return fetching_ms + self.read_tokens / rates.read_tokens_a_ms
 
 
-def reading(prompt: Prompt, candidate: Candidate, most_held_tokens: int) -> Reading:
+def reading(prompt: Prompt, candidate: Candidate, most_held_tokens: int) -> PrefillWork:
     """Return the work of ``candidate`` if some engine caches ``most_held_tokens`` of the prompt.
 
     >>> prompt = Prompt(key="p", tokens=900, shared_tokens=800)
     >>> reading(prompt, Candidate(name="e", hall="a", load=0, held_tokens=300), 800)
-    Reading(fetched_tokens=500, read_tokens=100)
+    PrefillWork(fetched_tokens=500, read_tokens=100)
     """
     fetched = max(0, most_held_tokens - candidate.held_tokens)
-    return Reading(
+    return PrefillWork(
         fetched_tokens=fetched, read_tokens=prompt.tokens - candidate.held_tokens - fetched
     )
 
--- a/src/croftpulley/core/waiting_line.py
+++ b/src/croftpulley/core/waiting_line.py
@@ -116,7 +116,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Asked:
+class PermitDecision:
     """The response to a request for a permit.
 
     ``evicted`` are the waiting requests that can't start in time any more and have been removed.
@@ -157,12 +157,14 @@
         """The moving average of how long requests hold their permits; 0 before any has ended."""
         return self._hold_s or 0.0
 
-    def ask(self, waiter: Waiter, permits: float, now_s: float) -> Asked:
+    def ask(self, waiter: Waiter, permits: float, now_s: float) -> PermitDecision:
         """Grant a request a permit, add it to the queue, or refuse it."""
         self._arrivals.add(waiter.urgency, now_s)
         if self.in_use < permits and not self._waiters:
             self._take_permit(waiter, now_s)
-            return Asked(outcome=Outcome.GRANTED, figures=self._figures(waiter, permits, 0, now_s))
+            return PermitDecision(
+                outcome=Outcome.GRANTED, figures=self._figures(waiter, permits, 0, now_s)
+            )
         waiter.number = next(self._numbers)
         self._waiters.append(waiter)
         self._reorder(waiter.workspace, now_s)
@@ -171,11 +173,11 @@
         if figures.starts_in_s > figures.patience_s:
             self._waiters.remove(waiter)
             self._reorder(waiter.workspace, now_s)
-            return Asked(outcome=Outcome.REFUSED, figures=figures)
-        pushed_out = self._unable_to_start(permits, now_s)
-        for each in pushed_out:
+            return PermitDecision(outcome=Outcome.REFUSED, figures=figures)
+        evicted = self._unable_to_start(permits, now_s)
+        for each in evicted:
             self._waiters.remove(each)
-        return Asked(outcome=Outcome.WAITS, figures=figures, pushed_out=pushed_out)
+        return PermitDecision(outcome=Outcome.WAITS, figures=figures, pushed_out=evicted)
 
     def grant(self, permits: float, now_s: float) -> list[Waiter]:
         """Grant the free permits to the requests at the head of the queue, and return these."""
@@ -232,15 +234,15 @@
 
     def _unable_to_start(self, permits: float, now_s: float) -> list[Waiter]:
         """Return the waiting requests that aren't expected to start in time."""
-        hopeless = []
+        unable = []
         ahead = 0
         for each in self._waiters:
             starts_in_s = self._starts_in_s(ahead, permits, each.urgency, now_s)
             if now_s + starts_in_s > each.until_s:
-                hopeless.append(each)
+                unable.append(each)
             else:
                 ahead += 1
-        return hopeless
+        return unable
 
     def _take_permit(self, waiter: Waiter, now_s: float) -> None:
         self.in_use += 1
