--- a/src/croftpulley/core/cold.py
+++ b/src/croftpulley/core/cold.py
@@ -73,8 +73,8 @@
 
     >>> made = Allotments()
     >>> made.begin(now_s=0.0)
-    >>> made.a_second("e", 4.0, "a", ("a", "b"), 1.0), made.a_second("e", 4.0, "a", ("a", "b"), 9.0)
-    (0, 2)
+    >>> [made.a_second("e", 4.0, "a", ("a", "b"), now_s) for now_s in (1.0, 9.0)]
+    [0, 2]
     """
 
     _allocates_from_s: float = float("-inf")
--- a/src/croftpulley/core/selection.py
+++ b/src/croftpulley/core/selection.py
@@ -167,8 +167,10 @@
     It is the expected fraction of the requests that haven't ended, with a mean duration of
     ``hold_s``.
 
-    >>> kept_since(0.0, 0.1), round(kept_since(0.2, 0.1), 2), kept_since(0.2, 0.0)
-    (1.0, 0.14, 0.0)
+    >>> kept_since(0.0, 0.1), kept_since(0.2, 0.0)
+    (1.0, 0.0)
+    >>> round(kept_since(0.2, 0.1), 2)
+    0.14
     """
     return math.exp(-max(0.0, age_s) / hold_s) if hold_s else 0.0
 
