--- a/src/croftpulley/core/peers.py
+++ b/src/croftpulley/core/peers.py
@@ -13,8 +13,8 @@
 from croftpulley.core import choice, membership, origins
 
 SLOT_COUNT = 256
-"""Number of slots into which streams are hashed. Their orders are computed once when the boxes
-change, not for each stream."""
+"""Number of slots that streams are hashed into. An order of boxes is computed once for each slot
+whenever the boxes change, not for each stream."""
 TOLD = 2
 """How many boxes store the origin of a stream, in addition to the box where it started."""
 QUERY_FANOUT = 4
--- a/src/croftpulley/core/waiting_line.py
+++ b/src/croftpulley/core/waiting_line.py
@@ -76,7 +76,8 @@
         return count * math.exp2((at_s - now_s) / self._half_life_s)
 
     def rate_per_s(self, below: int, now_s: float) -> float:
-        """Return a low estimate of the recent rate of all names that are numbers below ``below``.
+        """Return a low estimate of the recent rate per second of all names below ``below``, as
+        numbers.
 
         Small counts may be chance, so half a standard deviation is subtracted.
         """
