--- a/src/croftpulley/core/__init__.py
+++ b/src/croftpulley/core/__init__.py
@@ -1,5 +1,5 @@
-"""Pure decisions: no threads, no sockets and no clock of their own.
+"""Pure decision logic: no threads, sockets or clocks.
 
-Every function takes its inputs and the time, and returns what to do. Daemons, tests and the model
-checker run the same code.
+Functions take their inputs and the current time as arguments and return what to do, so daemons,
+tests and the model checker run the same code.
 """
--- a/src/croftpulley/core/agreed.py
+++ b/src/croftpulley/core/agreed.py
@@ -1,4 +1,4 @@
-"""The agreed state: what every control box computes from the same log of commands.
+"""The replicated state: what every control box computes from the same log of commands.
 
 A command is applied after it is durable. Applying is deterministic: commands carry the time.
 """
@@ -28,9 +28,9 @@
 
 @attrs.frozen
 class RegisterBox:
-    """An entry box is about to be granted its first lease.
+    """Records an entry box before its first lease is granted.
 
-    Logged so that a control box that restarts knows whose leases to wait out.
+    A control box that restarts reads from the log whose leases it has to wait out.
     """
 
     box: membership.Box
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class ForgetBox:
-    """The box's lease has ended."""
+    """Removes a box whose lease has ended."""
 
     box: str
 
 
 @attrs.frozen
 class GrantOwnership:
-    """A box becomes the owner of an engine, in the next epoch."""
+    """Makes a box the owner of an engine, in the next epoch."""
 
     engine: str
     box: str
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class ClaimCall:
-    """A box claims a call that may not be repeated."""
+    """A box claims a call that must not be executed twice (not idempotent)."""
 
     workspace: str
     key: str
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class RecordOutcome:
-    """A box records what came of a claimed call."""
+    """A box records the outcome of a claimed call."""
 
     workspace: str
     key: str
@@ -73,14 +73,14 @@
 
 @attrs.frozen
 class DropClaims:
-    """Claims older than the window go."""
+    """Drops claims made before ``before_wall_s``, a bounded number per command."""
 
     before_wall_s: float
 
 
 @attrs.frozen
 class ReportSuspects:
-    """A router reports what it met of requests under which endpoints end."""
+    """A router reports endpoint crashes, ended trials and requests answered completely."""
 
     report: suspect_messages.Report
     at_wall_s: float
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class BeginTrial:
-    """A router asks to try a suspect at one endpoint, for ``limit_s`` at most."""
+    """A router asks to try a suspect on one endpoint, for ``limit_s`` at most."""
 
     fingerprint: str
     trial: str
@@ -99,21 +99,21 @@
 
 @attrs.frozen
 class EvacuateHall:
-    """An operator orders that the endpoints of a data hall get no requests."""
+    """An operator evacuates a data hall: its endpoints get no more requests."""
 
     hall: str
 
 
 @attrs.frozen
 class ReturnHall:
-    """An operator takes the evacuation of a data hall back."""
+    """An operator ends the evacuation of a data hall."""
 
     hall: str
 
 
 @attrs.frozen
 class NoteVersions:
-    """The leading control box has read a list whose endpoints have just these versions."""
+    """Records the exact set of versions in the endpoint list that the leader has just read."""
 
     listed: tuple[pool_versions.PoolVersion, ...]
     at_wall_s: float
@@ -150,7 +150,7 @@
 
 @attrs.define
 class AgreedState:
-    """Everything that must survive."""
+    """The state that must survive restarts of control boxes."""
 
     submissions: submissions.Register = attrs.field(factory=submissions.Submissions)
     claims: claims.Claims = attrs.field(factory=claims.Claims)
@@ -161,7 +161,7 @@
     pool_versions: pool_versions.PoolVersions = attrs.field(factory=pool_versions.PoolVersions)
 
     def clear(self) -> None:
-        """Forget all that was applied; the rule for submissions stays."""
+        """Reset to the empty state; keeps the class of the submission register."""
         self.submissions = type(self.submissions)()
         self.claims = claims.Claims()
         self.boxes = {}
--- a/src/croftpulley/core/bulletins.py
+++ b/src/croftpulley/core/bulletins.py
@@ -1,4 +1,4 @@
-"""The suspects that routers are told of, and how they changed since one was told last; pure."""
+"""The suspects published to routers, and what changed since a revision; pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Entry:
-    """A suspect with the revision that told of it."""
+    """A published suspect and the revision that last changed it."""
 
     revision: int
     suspect: suspect_rules.Suspect
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Removal:
-    """A suspect that is none any more, with the revision that told so."""
+    """A fingerprint that is no longer suspect, and the revision that removed it."""
 
     revision: int
     fingerprint: str
@@ -25,9 +25,10 @@
 
 @attrs.frozen
 class Bulletin:
-    """The suspects that routers are told of; never changed, so any thread may read it.
+    """The suspects published to routers; immutable, so any thread may read it.
 
-    ``from_revision`` is the oldest from which changes are still known one by one.
+    ``from_revision`` is the oldest revision from which single changes are still known; a router
+    with an older revision gets all suspects.
     """
 
     revision: int = 0
@@ -36,12 +37,15 @@
     removals: tuple[Removal, ...] = ()
 
     def find(self, fingerprint: str) -> suspect_rules.Suspect | None:
-        """Return a suspect."""
+        """Return the suspect with this fingerprint, or ``None``."""
         found = (each.suspect for each in self.entries if each.suspect.fingerprint == fingerprint)
         return next(found, None)
 
     def since(self, revision: int, now_wall_s: float) -> suspect_messages.Change | None:
-        """Return what changed since a revision, ``None`` if nothing did."""
+        """Return the changes after a revision, or ``None`` if there are none.
+
+        All suspects are returned, with ``is_whole`` set, where the single changes are not known.
+        """
         if revision == self.revision:
             return None
         is_whole = not self.from_revision <= revision < self.revision
@@ -50,7 +54,9 @@
             revision=self.revision,
             is_whole=is_whole,
             suspects=tuple(
-                _told(each.suspect, now_wall_s) for each in self.entries if each.revision > known
+                _to_message(each.suspect, now_wall_s)
+                for each in self.entries
+                if each.revision > known
             ),
             removed=tuple(
                 each.fingerprint for each in self.removals if not is_whole and each.revision > known
@@ -58,13 +64,13 @@
         )
 
 
-def _told(suspect: suspect_rules.Suspect, now_wall_s: float) -> suspect_messages.Told:
+def _to_message(suspect: suspect_rules.Suspect, now_wall_s: float) -> suspect_messages.Told:
     refused_for_s = max(0.0, suspect.refused_until_wall_s - now_wall_s)
-    told = suspect_messages.Told(suspect.fingerprint, suspect.crashes, round(refused_for_s, 1))
+    message = suspect_messages.Told(suspect.fingerprint, suspect.crashes, round(refused_for_s, 1))
     if not suspect.is_part:
-        return told
+        return message
     return attrs.evolve(
-        told,
+        message,
         pools=suspect.pools,
         accused=suspect.accused,
         beside=suspect.beside,
--- a/src/croftpulley/core/claims.py
+++ b/src/croftpulley/core/claims.py
@@ -1,4 +1,4 @@
-"""Claims: a call that may not be repeated is claimed before it is sent to a worker."""
+"""Claims on idempotency keys: a call that must not run twice is claimed before it is sent."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from croftpulley import codes
 
-CLAIMS_DROPPED_AT_ONCE = 1000
-"""So that one command never holds up the log for long."""
+MAX_CLAIMS_PER_DROP = 1000
+"""Bounds the work of one command, so that it does not block the log for long."""
 
 
 class ClaimState(enum.IntEnum):
     """The answer to a claim."""
 
     FRESH = 0
-    """The key is now claimed; the asking box alone may send the call."""
+    """The key is now claimed; only the box that asked may send the call."""
     PENDING = 1
-    """The key was claimed before and no outcome is known: it may have run."""
+    """The key was claimed before and no outcome is known: the call may have run."""
     RECORDED = 2
-    """The call's outcome is known and goes with the answer."""
+    """The outcome of the call is known and part of the answer."""
     CONFLICT = 3
-    """The key was used for another call."""
+    """The key was used for a call with another digest."""
 
 
 @attrs.frozen
 class Outcome:
-    """What came of a call."""
+    """Whether a call ran, and the HTTP response that it got."""
 
     run_state: codes.RunState
     http_status: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Claim:
-    """A claimed key with the outcome, once there is one."""
+    """A claimed key; ``outcome`` is ``None`` until it is recorded."""
 
     digest: str
     claim_id: str
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class ClaimAnswer:
-    """What the claiming box is told."""
+    """The answer to the box that claims a key."""
 
     state: ClaimState
     outcome: Outcome | None = None
@@ -55,17 +55,17 @@
 
 @attrs.define
 class Claims:
-    """All claims inside the window, by workspace and key, oldest first."""
+    """All claims that have not been dropped yet, by workspace and key, oldest first."""
 
     by_key: dict[tuple[str, str], Claim] = attrs.field(factory=dict)
 
     def claim(
         self, workspace: str, key: str, digest: str, claim_id: str, at_wall_s: float
     ) -> ClaimAnswer:
-        """Claim a key, or say what is known of it.
+        """Claim a key, or return the state of the existing claim.
 
-        The same ``claim_id`` again is the same box asking once more because the answer was lost;
-        it has not sent the call yet, so its claim is still fresh.
+        A second request with the same ``claim_id`` comes from the same box, which retries because
+        the answer was lost; it has not sent the call yet, so its claim is still fresh.
         """
         known = self.by_key.get((workspace, key))
         if known is None:
@@ -79,7 +79,10 @@
         return ClaimAnswer(ClaimState.FRESH if fresh else ClaimState.PENDING)
 
     def record(self, workspace: str, key: str, outcome: Outcome) -> bool:
-        """Record an outcome; the first one stays. A call that was not run frees its key."""
+        """Record the outcome of a claimed call; return whether it was recorded.
+
+        The first outcome is final. A call that was not run releases its key.
+        """
         known = self.by_key.get((workspace, key))
         if known is None or known.outcome is not None:
             return False
@@ -90,14 +93,17 @@
         return True
 
     def oldest_at_wall_s(self) -> float | None:
-        """Return when the oldest claim was made."""
+        """Return the time of the oldest claim, or ``None`` if there is no claim."""
         return next((claim.at_wall_s for claim in self.by_key.values()), None)
 
     def drop_before(self, wall_s: float) -> int:
-        """Drop claims older than ``wall_s``, a bounded number at once; return how many."""
+        """Drop claims made before ``wall_s``; return how many.
+
+        One call drops at most `MAX_CLAIMS_PER_DROP` claims.
+        """
         old: list[tuple[str, str]] = []
         for key, claim in self.by_key.items():
-            if claim.at_wall_s >= wall_s or len(old) >= CLAIMS_DROPPED_AT_ONCE:
+            if claim.at_wall_s >= wall_s or len(old) >= MAX_CLAIMS_PER_DROP:
                 break
             old.append(key)
         for key in old:
--- a/src/croftpulley/core/halls.py
+++ b/src/croftpulley/core/halls.py
@@ -1,13 +1,12 @@
-"""Data halls: which are evacuated, and in which region each lies.
+"""Data halls: which are evacuated, and the region that each belongs to.
 
-**Evacuations.** Operators order that the endpoints of a hall get no requests, until they take that
-back. Orders have no number and no body, so one that is sent again cannot be told from a new one.
-Each is applied in the order of the log: a hall that is evacuated already, or was returned already,
-changes nothing, and whoever sent the order is told the same as the first time.
+**Evacuations.** Operators order that the endpoints of a hall get no requests, and later end that.
+Orders have no number and no body, so a repeated order cannot be told from a new one. Orders are
+applied in log order and are idempotent: one that changes nothing gets the same answer as the first.
 
-**Homes.** Routes and workspaces may name the regions where their requests may run. A request's body
-goes from its caller to the box that the caller chose and from there straight to an endpoint, so
-homes bear on which endpoints may be asked and on which boxes callers are told of.
+**Home regions.** Routes and workspaces may name the regions where their requests may run. The body
+of a request goes from the caller to the box that it chose and from there directly to an endpoint,
+so home regions restrict both the endpoints that are used and the boxes that callers are sent to.
 """
 
 from __future__ import annotations
@@ -20,12 +19,12 @@
 from croftpulley.core import membership
 
 LONGEST_NAME = 64
-"""Characters of a hall's name, as in the settings of boxes."""
+"""Maximum length of a hall's name in characters, as in the settings of boxes."""
 
 
 @attrs.frozen
 class Evacuated:
-    """The evacuated halls in the order of their names; ``revision`` grows with each change.
+    """The names of the evacuated halls, sorted; ``revision`` grows with each change.
 
     >>> one = Evacuated().with_hall("b").with_hall("a")
     >>> one
@@ -40,26 +39,26 @@
     names: tuple[str, ...] = ()
 
     def with_hall(self, hall: str) -> Evacuated:
-        """Return what holds once ``hall`` is evacuated."""
+        """Return the set with ``hall`` evacuated; ``self`` if it already is."""
         if hall in self.names:
             return self
         return Evacuated(self.revision + 1, tuple(sorted((*self.names, hall))))
 
     def without_hall(self, hall: str) -> Evacuated:
-        """Return what holds once ``hall`` is returned to service."""
+        """Return the set without ``hall``; ``self`` if it is not evacuated."""
         if hall not in self.names:
             return self
         return Evacuated(self.revision + 1, tuple(name for name in self.names if name != hall))
 
     def unless(self, revision: int) -> Evacuated | None:
-        """Return this, or ``None`` to one that knows this revision."""
+        """Return ``self``, or ``None`` for a recipient that already has this revision."""
         return None if revision == self.revision else self
 
 
 def allowed(*homes: Sequence[str]) -> frozenset[str] | None:
-    """Return the regions that are in every list of homes, ``None`` for any region.
+    """Return the regions that are in every list of home regions, ``None`` if any region is allowed.
 
-    An empty list binds nothing.
+    An empty list restricts nothing.
 
     >>> allowed((), ()) is None, sorted(allowed(("a", "b"), ("b",))), allowed(("a",), ("b",))
     (True, ['b'], frozenset())
@@ -68,31 +67,32 @@
     return frozenset.intersection(*binding) if binding else None
 
 
-Placed = TypeVar("Placed", membership.Box, membership.Endpoint)
+Located = TypeVar("Located", membership.Box, membership.Endpoint)
 
 
 @attrs.frozen
 class Regions:
-    """The region of each hall; a hall that the settings do not name lies in none."""
+    """The region of each hall; a hall that the settings do not name has none."""
 
     by_hall: Mapping[str, str] = attrs.field(factory=dict)
 
     def of(self, hall: str) -> str:
-        """Return a hall's region, empty if it is not known."""
+        """Return the region of a hall, an empty string if it is not known."""
         return self.by_hall.get(hall, "")
 
-    def at_home(self, placed: Iterable[Placed], homes: frozenset[str] | None) -> list[Placed]:
-        """Return the endpoints or boxes in ``homes``; all where nothing binds."""
+    def at_home(self, located: Iterable[Located], homes: frozenset[str] | None) -> list[Located]:
+        """Return the endpoints or boxes in the regions ``homes``; all if it is ``None``."""
         if homes is None:
-            return list(placed)
-        return [each for each in placed if self.of(each.hall) in homes]
+            return list(located)
+        return [each for each in located if self.of(each.hall) in homes]
 
     def ordered(
         self, boxes: Iterable[membership.Box], caller: Caller, homes: frozenset[str]
     ) -> list[membership.Box]:
-        """Return the boxes for a caller: those of its hall first, then those of its region.
+        """Return the boxes for a caller, nearest first: its own hall, then its region, then others.
 
-        With ``homes`` only boxes of these regions and of the caller's are told, if there are any.
+        If ``homes`` is not empty, only boxes in these regions and in the caller's region are
+        returned, or all boxes if there are none there.
         """
         region = caller.region or self.of(caller.hall)
 
@@ -104,13 +104,13 @@
         nearest = sorted(boxes, key=distance)
         if not homes:
             return nearest
-        fitting = [box for box in nearest if self.of(box.hall) in homes | {region}]
-        return fitting or nearest
+        in_regions = [box for box in nearest if self.of(box.hall) in homes | {region}]
+        return in_regions or nearest
 
 
 @attrs.frozen
 class Caller:
-    """Where a caller is and which host it asks for, as far as it told."""
+    """The location of a caller and the host that it asks for; empty where it sent none."""
 
     hall: str = ""
     region: str = ""
--- a/src/croftpulley/core/membership.py
+++ b/src/croftpulley/core/membership.py
@@ -1,4 +1,4 @@
-"""What the fleet knows of its boxes and engines."""
+"""The boxes and endpoints of the fleet, and which box owns which engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Box:
-    """An entry box as the others see it."""
+    """An entry box as other boxes see it."""
 
     name: str
     hall: str
@@ -20,7 +20,7 @@
 
 
 class EndpointKind(enum.Enum):
-    """What stands behind an address of the platform's list."""
+    """What runs at an address of the platform's list."""
 
     ENGINE = "engine"
     WORKER = "worker"
@@ -30,13 +30,18 @@
 class Endpoint:
     """An engine or a worker as the platform's list gives it.
 
-    ``name`` stays the same over restarts where the list says so. ``incarnation`` is what the
-    endpoint itself answers to; a request that expects another one is not run there. ``born_ms`` is
-    the Unix time of its start, where the list tells: then a restart may keep both. ``slots`` is how
-    many requests it runs at once, 0 if the list does not tell. ``version`` is that of its software,
-    empty where the list tells none. ``key`` names one life of the endpoint, whichever way the list
-    tells lives apart: all that is remembered of an endpoint is kept by its key, and ends with it.
-    Leaving is sticky within one life.
+    - ``name`` stays the same over restarts if the list provides stable names.
+    - ``incarnation`` is the id that the endpoint identifies itself by; it runs no request that
+      expects another one.
+    - ``born_ms`` is the Unix time of its start, if the list gives it: then a restart may keep both
+      name and incarnation.
+    - ``slots`` is how many requests it runs concurrently, 0 if the list does not say.
+    - ``version`` is the version of its software, empty if the list does not say.
+    - ``key`` identifies one run of the endpoint, from start to end, by whatever the list
+      distinguishes runs with. All state about an endpoint is stored under its key and ends with
+      that run.
+
+    ``leaving`` is sticky: it is never reset within one run.
     """
 
     name: str
@@ -53,8 +58,8 @@
 
     @key.default
     def _make_key(self) -> str:
-        life = self.name if self.incarnation == self.name else f"{self.name}#{self.incarnation}"
-        return life if self.born_ms is None else f"{life}@{self.born_ms}"
+        run = self.name if self.incarnation == self.name else f"{self.name}#{self.incarnation}"
+        return run if self.born_ms is None else f"{run}@{self.born_ms}"
 
 
 @attrs.frozen
@@ -76,25 +81,25 @@
     owners: tuple[Ownership, ...] = ()
 
     def box(self, name: str) -> Box | None:
-        """Return the box called ``name``."""
+        """Return the box with this name, or ``None``."""
         return next((box for box in self.boxes if box.name == name), None)
 
     def engine(self, name: str) -> Endpoint | None:
-        """Return the engine called ``name``."""
+        """Return the engine with this name, or ``None``."""
         return next((engine for engine in self.engines if engine.name == name), None)
 
     def engine_counts(self) -> dict[str, int]:
-        """Return how many engines each pool has that are not leaving."""
+        """Return the number of engines of each pool that are not leaving."""
         return dict(collections.Counter(each.pool for each in self.engines if not each.leaving))
 
     def owner_of(self, engine: str) -> Ownership | None:
-        """Return the ownership of ``engine``."""
+        """Return the ownership of ``engine``, or ``None``."""
         return next((each for each in self.owners if each.engine == engine), None)
 
 
 @attrs.frozen
 class PoolLoad:
-    """Requests outstanding at the engines of a pool that one box owns, or that all own."""
+    """Outstanding requests and engines of a pool, of those that one box owns or of all."""
 
     pool: str
     outstanding: int
@@ -102,20 +107,20 @@
 
     @property
     def mean(self) -> float:
-        """Outstanding requests an engine."""
+        """Outstanding requests per engine; 0 without engines."""
         return self.outstanding / self.engines if self.engines else 0.0
 
 
 def keep_leaving(known: dict[str, Endpoint], listed: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
-    """Make leaving sticky: an endpoint once seen leaving stays so within one life.
+    """Return the listed endpoints with the ``leaving`` flag of earlier lists carried over.
 
-    ``known`` holds endpoints by name.
+    ``known`` holds the endpoints of earlier lists by name.
     """
     return tuple(sticky(known.get(each.name), each) for each in listed)
 
 
 def sticky(known: Endpoint | None, listed: Endpoint) -> Endpoint:
-    """Return ``listed``, leaving if ``known`` is the same life and was seen leaving."""
+    """Return ``listed``, marked as leaving if ``known`` is the same run and was leaving."""
     if known is not None and known.key == listed.key and known.leaving:
         return attrs.evolve(listed, leaving=True)
     return listed
--- a/src/croftpulley/core/parts.py
+++ b/src/croftpulley/core/parts.py
@@ -1,7 +1,7 @@
-"""A configuration in parts of a bounded size, on its way from control boxes to a router.
+"""Transfer of a configuration from control boxes to a router, in parts of a bounded size.
 
-What was received is kept, so that a part that failed is asked for again at its offset, wherever the
-next one comes from. Only another version begins anew.
+Received data is kept, so a failed part is requested again at its offset, from any control box. Only
+another version starts over.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from croftpulley import codes, errors
 
 PART_SIZE_BYTES = 16 * 1024
-"""Guards against messages that a link does not carry within the time of a call. A part is 22 kB in
-JSON, 1.8 ms on a link of 12.5 MB/s: 200 routers may ask one control box at the same moment before
-the last of them waits 0.4 s, and a heartbeat waits behind single parts."""
+"""Keeps messages small enough for a link to carry within the timeout of a call. A part is 22 kB in
+JSON, 1.8 ms on a link of 12.5 MB/s: if 200 routers ask one control box at the same moment, the last
+of them waits 0.4 s, and a heartbeat waits behind single parts only."""
 LONGEST_BYTES = 64 * 1024 * 1024
-"""No configuration is gathered or unpacked beyond this: one that claims to be longer is damaged."""
-_CONTRADICTIONS = 2
-"""So many in a row say that what is held is wrong, not what comes."""
+"""Maximum size of a configuration, packed and unpacked; one that claims to be longer is damaged."""
+_MAX_CONSECUTIVE_MISMATCHES = 2
+"""After this many mismatching parts in a row the data received before is taken to be wrong, and is
+discarded."""
 
 
 @attrs.frozen(kw_only=True)
 class ConfigurationRequest:
-    """A router asks for what it lacks of a version, from ``offset`` on."""
+    """A router asks for the text of a version from ``offset`` on."""
 
     version: int
     offset: int
@@ -33,11 +34,11 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationPart:
-    """A part of the packed text of a version, which is ``size_bytes`` long in all.
+    """A part of the packed text of a version, which is ``size_bytes`` long in total.
 
-    ``checksum`` (CRC-32) is that of the whole packed text. An older version than was asked for, and
-    no data, say that the control box does not hold that one yet; of a newer one it sends the first
-    part.
+    ``checksum`` is the CRC-32 of the whole packed text. A part of an older version than requested,
+    without data, says that the control box does not have the requested version yet; if it has a
+    newer one, it sends the first part of that.
     """
 
     version: int
@@ -57,11 +58,13 @@
 
     @classmethod
     def of(cls, version: int, text: bytes) -> Packed:
-        """Make it with its checksum."""
+        """Create it from the packed text, computing the checksum."""
         return cls(version, text, zlib.crc32(text))
 
     def part(self, request: ConfigurationRequest) -> ConfigurationPart:
-        """Return what answers a request; raises `errors.CroftpulleyError` (BAD_REQUEST).
+        """Return the answer to a request.
+
+        Raises `errors.CroftpulleyError` (BAD_REQUEST) if the offset is outside the text.
 
         >>> packed = Packed.of(2, b"text")
         >>> packed.part(ConfigurationRequest(version=2, offset=1)).data
@@ -75,7 +78,7 @@
             return ConfigurationPart(version=self.version)
         offset = request.offset if request.version == self.version else 0
         if not 0 <= offset < len(self.text):
-            raise _refused(f"got offset {offset}, allowed is 0 to {len(self.text) - 1}")
+            raise _bad_request(f"got offset {offset}, allowed is 0 to {len(self.text) - 1}")
         return ConfigurationPart(
             version=self.version,
             offset=offset,
@@ -87,7 +90,7 @@
 
 @attrs.define
 class Gathering:
-    """What a router holds of the newest version that it has heard of.
+    """Assembles the newest version that a router knows of from its parts.
 
     >>> gathering = Gathering()
     >>> gathering.aim(2)
@@ -100,92 +103,97 @@
     version: int = 0
     _size_bytes: int = 0
     _checksum: int = 0
-    _held: bytearray = attrs.field(factory=bytearray)
-    _contradictions: int = 0
-    _done: bool = True
+    _received: bytearray = attrs.field(factory=bytearray)
+    _mismatches: int = 0
+    _is_complete: bool = True
 
     def aim(self, version: int) -> None:
-        """Learn of a version; one that is not newer changes nothing."""
+        """Start on ``version`` if it is newer than the current one."""
         if version > self.version:
             self.version = version
-            self._begin()
+            self._restart()
 
     def request(self) -> ConfigurationRequest | None:
-        """Return what to ask for next, or ``None`` if nothing is missing."""
-        if self._done:
+        """Return the next request to send, or ``None`` if nothing is missing."""
+        if self._is_complete:
             return None
-        return ConfigurationRequest(version=self.version, offset=len(self._held))
+        return ConfigurationRequest(version=self.version, offset=len(self._received))
 
     def take(self, part: ConfigurationPart) -> bytes | None:
-        """Take a part; return the whole packed text once, with its last part.
+        """Add a part; return the whole packed text with the last part, ``None`` before.
 
-        A part that comes again, of an older version or out of its order changes nothing. Raises
-        `errors.CroftpulleyError` (BAD_REQUEST) for one that is damaged or contradicts what is held.
+        A part that is repeated, out of order or of an older version has no effect. Raises
+        `errors.CroftpulleyError` (BAD_REQUEST) for one that is damaged or does not match those
+        received before.
         """
         if part.version < self.version:
             return None
-        _check(part)
+        _check_bounds(part)
         self.aim(part.version)
-        if self._done:
+        if self._is_complete:
             return None
-        self._compare(part)
-        if part.offset != len(self._held):
+        self._check_same_text(part)
+        if part.offset != len(self._received):
             return None
         self._size_bytes = part.size_bytes
         self._checksum = part.checksum
-        self._held += part.data
-        self._contradictions = 0
-        return self._finish() if len(self._held) == part.size_bytes else None
+        self._received += part.data
+        self._mismatches = 0
+        return self._assemble() if len(self._received) == part.size_bytes else None
 
-    def _compare(self, part: ConfigurationPart) -> None:
-        """Refuse a part of another text than the one of which parts are held."""
+    def _check_same_text(self, part: ConfigurationPart) -> None:
+        """Raise if the part belongs to another text than those received before."""
         same = (part.size_bytes, part.checksum) == (self._size_bytes, self._checksum)
-        if same or not self._held:
+        if same or not self._received:
             return
-        self._contradictions += 1
-        if self._contradictions >= _CONTRADICTIONS:
-            self._begin()
-        raise _refused(f"got a part of another text of version {part.version}")
+        self._mismatches += 1
+        if self._mismatches >= _MAX_CONSECUTIVE_MISMATCHES:
+            self._restart()
+        raise _bad_request(f"got a part of a different text of version {part.version}")
 
-    def _finish(self) -> bytes:
-        whole = bytes(self._held)
+    def _assemble(self) -> bytes:
+        whole = bytes(self._received)
         checksum = self._checksum
-        self._begin()
+        self._restart()
         if zlib.crc32(whole) != checksum:
-            raise _refused(f"got parts of version {self.version} that make no whole")
-        self._done = True
+            raise _bad_request(
+                f"checksum mismatch in the assembled parts of version {self.version}"
+            )
+        self._is_complete = True
         return whole
 
-    def _begin(self) -> None:
-        self._held = bytearray()
-        self._contradictions = 0
-        self._done = False
+    def _restart(self) -> None:
+        self._received = bytearray()
+        self._mismatches = 0
+        self._is_complete = False
 
 
-def sources(
-    addresses: tuple[str, ...], leader_address: str, chance: random.Random
-) -> tuple[str, ...]:
-    """Return the control boxes to ask for a part, one after the other.
+def sources(addresses: tuple[str, ...], leader_address: str, rng: random.Random) -> tuple[str, ...]:
+    """Return the control boxes to ask for a part, in the order to try them.
 
-    The leader comes last: routers then share the links of the others, and its heartbeats do not
-    wait behind parts. The others come by chance, so that routers spread over them.
+    The leader comes last: routers then share the links of the other boxes, and its heartbeats do
+    not queue behind parts. The others are shuffled to spread the routers over them.
 
     >>> sources(("a", "b"), "a", random.Random(1))
     ('b', 'a')
     """
     others = [each for each in addresses if each != leader_address]
-    chance.shuffle(others)
+    rng.shuffle(others)
     return (*others, leader_address) if leader_address else tuple(others)
 
 
-def _check(part: ConfigurationPart) -> None:
+def _check_bounds(part: ConfigurationPart) -> None:
     if not 0 < part.size_bytes <= LONGEST_BYTES:
-        raise _refused(f"got a text of {part.size_bytes} bytes, allowed is 1 to {LONGEST_BYTES}")
+        raise _bad_request(
+            f"got a text of {part.size_bytes} bytes, allowed is 1 to {LONGEST_BYTES}"
+        )
     if not 0 < len(part.data) <= PART_SIZE_BYTES:
-        raise _refused(f"got {len(part.data)} bytes, allowed is 1 to {PART_SIZE_BYTES}")
+        raise _bad_request(f"got {len(part.data)} bytes, allowed is 1 to {PART_SIZE_BYTES}")
     if part.offset < 0 or part.offset + len(part.data) > part.size_bytes:
-        raise _refused(f"got a part at {part.offset} beyond {part.size_bytes} bytes")
+        raise _bad_request(
+            f"got a part at offset {part.offset} outside the {part.size_bytes} bytes of the text"
+        )
 
 
-def _refused(problem: str) -> errors.CroftpulleyError:
+def _bad_request(problem: str) -> errors.CroftpulleyError:
     return errors.CroftpulleyError(codes.ResultCode.BAD_REQUEST, problem)
--- a/src/croftpulley/core/sessions.py
+++ b/src/croftpulley/core/sessions.py
@@ -1,7 +1,8 @@
-"""What a leading control box knows of the entry boxes: their leases and configuration versions.
+"""The leading control box's view of the entry boxes: their leases and what they apply.
 
-A box may act on its lease until that ends, whoever leads. So a new leader counts every registered
-box as holding a lease of unknown version until the box has reported or the lease must have ended.
+A box may act on its lease until that ends, whoever leads. So a new leader assumes that every
+registered box holds a lease and applies an unknown version, until the box has renewed or the lease
+must have ended.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from croftpulley.core import leases, listed_counts, membership
 
 SILENT_AFTER_S = 1.0
-"""Four renewals missed in a row, at the default interval."""
+"""Four missed renewals in a row, at the default interval."""
 
 
 @attrs.frozen
 class Known:
-    """What a box uses of what is agreed: the configuration and the evacuated halls.
+    """The configuration version and the revision of evacuated halls that a box applies.
 
     >>> Known(7, 2).covers(Known(6)), Known(7, 2).covers(Known(0, 3))
     (True, False)
@@ -29,7 +30,7 @@
     halls_revision: int = 0
 
     def covers(self, wanted: Known) -> bool:
-        """Tell whether this is ``wanted`` or newer, in every part."""
+        """Tell whether both numbers are at least those of ``wanted``."""
         return (
             self.configuration_version >= wanted.configuration_version
             and self.halls_revision >= wanted.halls_revision
@@ -39,15 +40,15 @@
 @attrs.define
 class _Session:
     box: membership.Box
-    known: Known
-    heard_at_s: float
+    applied: Known
+    renewed_at_s: float
     load: listed_counts.Load
 
 
-class _Totals:
-    """Sums over boxes, changed by what one box reports anew, so that a renewal costs its own size.
+class _SumsByName:
+    """Sums per name over all boxes, updated by differences: a renewal costs the size of its report.
 
-    >>> totals = _Totals()
+    >>> totals = _SumsByName()
     >>> totals.replace({}, {"e": 2, "f": 1}); totals.replace({"e": 2, "f": 1}, {"e": 3})
     >>> totals.counts()
     {'e': 3}
@@ -57,7 +58,7 @@
         self._counts: collections.Counter[str] = collections.Counter()
 
     def replace(self, before: Mapping[str, int], after: Mapping[str, int]) -> None:
-        """Count what a box reports now in place of what it reported before."""
+        """Replace a box's previous counts by its current ones."""
         self._counts.update(after)
         self._counts.subtract(before)
         for name in before:
@@ -71,45 +72,45 @@
 
 @attrs.define
 class Sessions:
-    """The sessions of all boxes with one leader."""
+    """The state of all boxes that renew their leases with this leader."""
 
     lease_s: float
     margin_s: float
     _leases: leases.GrantedLeases = attrs.field(init=False)
     _sessions: dict[str, _Session] = attrs.field(factory=dict)
-    _assumed: set[str] = attrs.field(factory=set)
-    _in_flight: _Totals = attrs.field(factory=_Totals)
-    _reading_tokens: _Totals = attrs.field(factory=_Totals)
+    _unheard: set[str] = attrs.field(factory=set)
+    _in_flight: _SumsByName = attrs.field(factory=_SumsByName)
+    _reading_tokens: _SumsByName = attrs.field(factory=_SumsByName)
 
     def __attrs_post_init__(self) -> None:
         self._leases = leases.GrantedLeases(self.lease_s, self.margin_s)
 
     def begin(self, registered: tuple[str, ...], now_s: float) -> None:
-        """Begin to lead: any registered box may hold a lease from the leader before."""
+        """Start leading: any registered box may hold a lease granted by the previous leader."""
         for name in list(self._sessions):
             self._drop(name)
-        self._leases.until_s.clear()
-        self._assumed = set(registered)
+        self._leases.expires_at_s.clear()
+        self._unheard = set(registered)
         for box in registered:
             self._leases.assume(box, now_s)
 
     def renew(
         self,
         box: membership.Box,
-        known: Known,
+        applied: Known,
         load: listed_counts.Load,
         now_s: float,
     ) -> bool:
-        """Grant or renew a box's lease; ``known`` is what it uses.
+        """Grant or renew a box's lease; ``known`` is what the box applies.
 
-        Returns whether the box is heard of anew or uses something else than before.
+        Returns whether the box is new to this leader or applies something else than before.
         """
-        self._assumed.discard(box.name)
+        self._unheard.discard(box.name)
         self._leases.renew(box.name, now_s)
         before = self._sessions.get(box.name)
         self._count(before.load if before else listed_counts.Load(), load)
-        self._sessions[box.name] = _Session(box, known, now_s, load)
-        return before is None or before.known != known
+        self._sessions[box.name] = _Session(box, applied, now_s, load)
+        return before is None or before.applied != applied
 
     def _count(self, before: listed_counts.Load, after: listed_counts.Load) -> None:
         self._in_flight.replace(before.in_flight, after.in_flight)
@@ -121,45 +122,45 @@
             self._count(dropped.load, listed_counts.Load())
 
     def expire(self, now_s: float) -> list[str]:
-        """Forget and return the boxes whose lease has ended."""
+        """Remove and return the boxes whose lease has ended."""
         ended = self._leases.expire(now_s)
         for box in ended:
             self._drop(box)
-            self._assumed.discard(box)
+            self._unheard.discard(box)
         return ended
 
     def waiting_for(self, wanted: Known, now_s: float) -> tuple[str, ...]:
-        """Return the boxes with a live lease that may not use ``wanted`` yet."""
+        """Return the boxes that may hold a lease and may not apply ``wanted`` yet, sorted."""
         late = [
             name
             for name, session in self._sessions.items()
-            if not session.known.covers(wanted) and self._leases.live(name, now_s)
+            if not session.applied.covers(wanted) and self._leases.live(name, now_s)
         ]
-        unheard = [name for name in self._assumed if self._leases.live(name, now_s)]
+        unheard = [name for name in self._unheard if self._leases.live(name, now_s)]
         return tuple(sorted(late + unheard))
 
     def boxes(self, now_s: float) -> tuple[membership.Box, ...]:
-        """Return the boxes that callers may be sent to, by name: those heard of lately.
+        """Return the boxes to send callers to, sorted by name: those that renewed recently.
 
-        A box that is silent still holds its lease, but is likely down or frozen.
+        A box that has stopped renewing still holds its lease, but is probably down or hung.
         """
         return tuple(
             self._sessions[name].box
             for name in sorted(self._sessions)
-            if now_s - self._sessions[name].heard_at_s <= SILENT_AFTER_S
+            if now_s - self._sessions[name].renewed_at_s <= SILENT_AFTER_S
         )
 
     @property
     def awaits_boxes(self) -> bool:
-        """Tell whether a registered box has yet to renew with this leader: sums lack its part."""
-        return bool(self._assumed)
+        """Whether a registered box has not renewed yet, so that sums lack its part."""
+        return bool(self._unheard)
 
     def loads(self) -> listed_counts.Load:
-        """Return what all boxes that have renewed have at each endpoint."""
+        """Return the load per endpoint, summed over all boxes that have renewed."""
         return listed_counts.Load(self._in_flight.counts(), self._reading_tokens.counts())
 
     def unreached(self) -> dict[str, frozenset[str]]:
-        """Return the boxes that reach no endpoint of a pool, by pools."""
+        """Return, by pool, the boxes that reach none of the pool's endpoints."""
         found: dict[str, set[str]] = {}
         for name, session in self._sessions.items():
             for pool in session.load.unreached:
@@ -167,11 +168,14 @@
         return {pool: frozenset(names) for pool, names in found.items()}
 
     def resting_s(self, now_s: float) -> dict[str, dict[str, float]]:
-        """Return which endpoints want nothing from which boxes, and for how long from now."""
+        """Return, by endpoint and box, for how long the endpoint wants no requests from the box.
+
+        The seconds count from ``now_s``; endpoints and boxes without such a wish are left out.
+        """
         found: dict[str, dict[str, float]] = {}
         for name, session in sorted(self._sessions.items()):
-            for endpoint, told_s in session.load.resting_s.items():
-                left_s = told_s - (now_s - session.heard_at_s)
+            for endpoint, reported_s in session.load.resting_s.items():
+                left_s = reported_s - (now_s - session.renewed_at_s)
                 if left_s > 0:
                     found.setdefault(endpoint, {})[name] = left_s
         return found
--- a/src/croftpulley/core/submissions.py
+++ b/src/croftpulley/core/submissions.py
@@ -1,4 +1,4 @@
-"""Operators' submissions of the configuration: numbered, remembered, never reverted by a resend."""
+"""Operators' configuration submissions, numbered so that a resend never reverts a newer one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Submission:
-    """What an operator sends; the operator numbers submissions, racing ones may share a number."""
+    """A configuration and its number; operators choose numbers and may collide."""
 
     operator: str
     number: int
@@ -20,13 +20,13 @@
 
     @property
     def digest(self) -> str:
-        """Stands for the content when a resend is compared with the first."""
+        """SHA-256 of the content, which identifies a resend of the same submission."""
         return hashlib.sha256(self.document_json.encode()).hexdigest()
 
 
 @attrs.frozen
 class Accepted:
-    """The remembered answer to a submission."""
+    """The record of an accepted submission."""
 
     operator: str
     number: int
@@ -36,7 +36,9 @@
 
 @attrs.frozen
 class SubmissionAnswer:
-    """``code`` OK or SUBMISSION_CONFLICT; ``winner`` is what holds the number."""
+    """``code`` is OK or SUBMISSION_CONFLICT; ``winner`` is the submission that is in effect for the
+    number, or the current one (`HighestNumber`).
+    """
 
     code: codes.ResultCode
     winner: Accepted
@@ -44,8 +46,9 @@
 
 @attrs.frozen
 class Held:
-    """A document and its version, in one value: whoever reads while another is applied gets both
-    of the same submission.
+    """A document and its version in one immutable value.
+
+    So a thread that reads while a submission is applied gets both of the same submission.
     """
 
     version: int = 0
@@ -54,34 +57,34 @@
 
 @attrs.define
 class Register(abc.ABC):
-    """The current document, and the rule by which a submission becomes it."""
+    """The current document, and the rule that decides which submissions replace it."""
 
     held: Held = Held()
 
     @abc.abstractmethod
     def submit(self, submission: Submission) -> SubmissionAnswer:
-        """Apply a submission, or find what is to be answered without a change."""
+        """Apply a submission if the rule accepts it, and return the answer."""
 
     @abc.abstractmethod
     def history(self) -> tuple[Accepted, ...]:
-        """Return the accepted submissions that are remembered, oldest first."""
+        """Return the recorded submissions, oldest first."""
 
     def find(self, number: int) -> Accepted | None:
-        """Return the remembered submission with this number."""
+        """Return the recorded submission with this number, or ``None``."""
         return next((each for each in self.history() if each.number == number), None)
 
 
 @attrs.define
 class Submissions(Register):
-    """A number belongs to the first submission that used it; versions count the accepted ones."""
+    """The first submission with a number gets it; the version counts accepted submissions."""
 
     by_number: dict[int, Accepted] = attrs.field(factory=dict)
 
     def submit(self, submission: Submission) -> SubmissionAnswer:
-        """Apply a submission, or find what was answered to it before.
+        """Apply a submission, or repeat the earlier answer.
 
-        The same operator with the same content gets the first answer again, however late;
-        anything else under a number that was used is a conflict and changes nothing.
+        The same operator with the same content gets the first answer again, however late; any other
+        submission with a used number is a conflict and changes nothing.
         """
         winner = self.by_number.get(submission.number)
         if winner is None:
@@ -95,7 +98,7 @@
         return tuple(self.by_number.values())
 
     def find(self, number: int) -> Accepted | None:
-        """Return the submission that holds this number."""
+        """Return the accepted submission with this number, or ``None``."""
         return self.by_number.get(number)
 
     def _accept(self, submission: Submission) -> Accepted:
@@ -108,16 +111,17 @@
 
 @attrs.define
 class HighestNumber(Register):
-    """The submission with the highest number holds, and its number is the version.
+    """The submission with the highest number is current, and its number is the version.
 
-    A number that is not above it is acknowledged and changes nothing: it was overtaken, or is a
-    resend whose first answer was lost. Of two with an equal number the first holds.
+    A submission with a lower or equal number is acknowledged and changes nothing: a newer one has
+    replaced it, or it is a resend whose first answer was lost. Of two with equal numbers the first
+    wins.
     """
 
     current: Accepted = Accepted("", 0, "", 0)
 
     def submit(self, submission: Submission) -> SubmissionAnswer:
-        """Apply a submission if its number is the highest so far."""
+        """Apply a submission if its number is the highest so far; the code is always OK."""
         if submission.number > self.held.version:
             self.held = Held(submission.number, submission.document_json)
             self.current = Accepted(
@@ -126,5 +130,5 @@
         return SubmissionAnswer(codes.ResultCode.OK, self.current)
 
     def history(self) -> tuple[Accepted, ...]:
-        """Return the one that holds; the others are not remembered."""
+        """Return the current submission, if any; earlier ones are not kept."""
         return (self.current,) if self.held.version else ()
--- a/src/croftpulley/core/versions.py
+++ b/src/croftpulley/core/versions.py
@@ -1,4 +1,4 @@
-"""A value with a number that stands for its content, so that it is sent only when it changed."""
+"""A value with a hash of its content as version, so that it is sent only when it has changed."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def fingerprint(value: object) -> int:
-    """Return a number that stands for the content; never 0, which says that nothing is known.
+    """Return a hash of the value's ``repr``; never 0, which stands for an unknown version.
 
     >>> fingerprint(("a", 1)) == fingerprint(("a", 1)) != fingerprint(("a", 2))
     True
     """
-    # Half the bits, so that the number survives JSON readers that use doubles.
+    # 52 bits, so that JSON readers which use doubles keep the exact number.
     return (xxhash.xxh3_64_intdigest(repr(value).encode()) >> 12) + 1
 
 
 @attrs.define
 class Versioned(Generic[T]):
-    """A value and its version, the same on every box that has the same value."""
+    """A value and its version, which is the same on every box with an equal value."""
 
     value: T
     version: int = attrs.field(init=False)
@@ -31,11 +31,11 @@
         self.version = fingerprint(self.value)
 
     def set(self, value: T) -> None:
-        """Replace the value."""
+        """Replace the value; the version changes if the value does."""
         if value != self.value:
             self.value = value
             self.version = fingerprint(value)
 
     def unless(self, version: int) -> T | None:
-        """Return the value, or ``None`` to one that has this version."""
+        """Return the value, or ``None`` for a recipient that already has this version."""
         return None if version == self.version else self.value
--- a/testing/core/test_agreed.py
+++ b/testing/core/test_agreed.py
@@ -27,7 +27,7 @@
     return state.apply(agreed.RecordOutcome("clinic", key, outcome))
 
 
-def test_a_resent_submission_gets_its_first_answer_and_reverts_nothing(state):
+def test_a_resent_submission_gets_its_first_answer_and_reverts_no_later_one(state):
     first = submit(state, number=1, document='{"a": 1}')
     for number in range(2, 302):
         submit(state, number=number, document=f'{{"a": {number}}}')
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(("operator", "document"), [("aigerim", '{"a": 2}'), ("bolat", '{"a": 1}')])
-def test_an_equal_number_with_other_content_or_operator_names_the_winner(state, operator, document):
+def test_a_used_number_with_other_content_or_operator_is_a_conflict(state, operator, document):
     submit(state, "aigerim", 7, '{"a": 1}')
     answer = submit(state, operator, 7, document)
     assert answer.code is codes.ResultCode.SUBMISSION_CONFLICT
@@ -46,31 +46,31 @@
     assert state.submissions.held.version == 1
 
 
-def test_a_key_is_claimed_once(state):
+def test_a_second_claim_of_a_key_is_pending(state):
     assert claim(state, claim_id="c-1").state is claims.ClaimState.FRESH
     assert claim(state, claim_id="c-2").state is claims.ClaimState.PENDING
 
 
-def test_the_same_claim_asked_again_is_still_fresh(state):
-    # The answer to the first was lost, and the box that asks has sent nothing yet.
+def test_a_retried_claim_is_still_fresh(state):
+    # The first answer was lost, so the box has not sent the call yet.
     claim(state, claim_id="c-1")
     assert claim(state, claim_id="c-1").state is claims.ClaimState.FRESH
 
 
-def test_a_recorded_outcome_is_given_again_and_never_replaced(state):
+def test_a_recorded_outcome_is_returned_and_never_replaced(state):
     claim(state)
     assert record(state, RAN)
     assert not record(state, claims.Outcome(codes.RunState.RAN, 500, "", b"other"))
     assert claim(state, claim_id="c-2").outcome == RAN
 
 
-def test_a_call_that_did_not_run_frees_its_key(state):
+def test_a_call_that_did_not_run_releases_its_key(state):
     claim(state)
     record(state, NOT_RUN)
     assert claim(state, claim_id="c-2").state is claims.ClaimState.FRESH
 
 
-def test_a_late_not_run_never_frees_a_key_that_ran(state):
+def test_a_late_not_run_never_releases_the_key_of_a_call_that_ran(state):
     claim(state)
     record(state, RAN)
     assert not record(state, NOT_RUN)
@@ -82,33 +82,33 @@
     assert claim(state, digest="e").state is claims.ClaimState.CONFLICT
 
 
-def test_claims_older_than_the_window_go_a_bounded_number_at_once(state):
-    for number in range(claims.CLAIMS_DROPPED_AT_ONCE + 5):
+def test_one_command_drops_a_bounded_number_of_old_claims(state):
+    for number in range(claims.MAX_CLAIMS_PER_DROP + 5):
         claim(state, key=f"k-{number}")
-    assert state.apply(agreed.DropClaims(101.0)) == claims.CLAIMS_DROPPED_AT_ONCE
+    assert state.apply(agreed.DropClaims(101.0)) == claims.MAX_CLAIMS_PER_DROP
     assert state.apply(agreed.DropClaims(101.0)) == 5
     assert state.claims.oldest_at_wall_s() is None
 
 
-def test_every_grant_has_a_larger_epoch(state):
+def test_each_grant_of_an_engine_increments_the_epoch(state):
     epochs = [state.apply(agreed.GrantOwnership("e", box)).epoch for box in "aba"]
     assert epochs == [1, 2, 3]
 
 
 class TestHighestNumber:
-    """The rule by which the highest number holds."""
+    """The register in which the submission with the highest number is current."""
 
     @pytest.fixture
     def register(self):
         return submissions.HighestNumber()
 
-    def test_a_higher_number_holds_and_is_the_version(self, register):
+    def test_a_higher_number_becomes_current_and_is_the_version(self, register):
         register.submit(submissions.Submission("", 3, '{"a": 3}'))
         register.submit(submissions.Submission("", 9, '{"a": 9}'))
         assert (register.held.version, register.held.document_json) == (9, '{"a": 9}')
 
     @pytest.mark.parametrize("number", [2, 9])
-    def test_a_number_not_above_it_is_acknowledged_and_changes_nothing(self, register, number):
+    def test_a_lower_or_equal_number_is_acknowledged_and_changes_nothing(self, register, number):
         register.submit(submissions.Submission("", 9, '{"a": 9}'))
         answer = register.submit(submissions.Submission("", number, '{"a": "other"}'))
         assert answer.code is codes.ResultCode.OK
--- a/testing/core/test_halls.py
+++ b/testing/core/test_halls.py
@@ -1,4 +1,4 @@
-"""Which halls are evacuated, whatever order operators' orders come in."""
+"""Evacuated halls, for any sequence of operators' orders."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def applied(orders):
+def state_after(orders):
     state = agreed.AgreedState()
     for each in orders:
         state.apply(commands.decode(commands.encode(each)))
@@ -25,35 +25,35 @@
 
 
 @given(ORDERS)
-def test_the_last_order_about_a_hall_holds(orders):
+def test_the_last_order_for_a_hall_decides(orders):
     last = {each.hall: isinstance(each, agreed.EvacuateHall) for each in orders}
-    evacuated = applied(orders).evacuated
+    evacuated = state_after(orders).evacuated
     assert set(evacuated.names) == {hall for hall, is_evacuated in last.items() if is_evacuated}
 
 
 @given(ORDERS, ORDERS)
-def test_the_revision_grows_with_each_change_and_with_nothing_else(first, rest):
-    state = applied(first)
-    before = state.evacuated
+def test_the_revision_grows_by_one_with_each_change_and_only_then(first, rest):
+    state = state_after(first)
+    previous = state.evacuated
     for each in rest:
-        told = state.apply(each)
-        assert told is state.evacuated
-        assert told.revision - before.revision == (told.names != before.names)
-        before = told
+        result = state.apply(each)
+        assert result is state.evacuated
+        assert result.revision - previous.revision == (result.names != previous.names)
+        previous = result
 
 
 @given(ORDERS)
-def test_a_snapshot_keeps_them(orders):
-    state = applied(orders)
+def test_a_snapshot_keeps_the_evacuated_halls(orders):
+    state = state_after(orders)
     restored = agreed.AgreedState(evacuated=halls.Evacuated(9, ("x",)))
     state_codec.restore(state_codec.encode(state), restored)
     assert restored.evacuated == state.evacuated
 
 
-def test_a_snapshot_from_before_there_were_evacuations_has_none():
+def test_a_snapshot_without_the_evacuated_field_restores_to_no_evacuated_halls():
     text = state_codec.encode(agreed.AgreedState())
-    older = text.replace(',"evacuated":{"revision":0,"names":[]}', "")
-    assert older != text
+    old_text = text.replace(',"evacuated":{"revision":0,"names":[]}', "")
+    assert old_text != text
     restored = agreed.AgreedState(evacuated=halls.Evacuated(9, ("x",)))
-    state_codec.restore(older, restored)
+    state_codec.restore(old_text, restored)
     assert restored.evacuated == halls.Evacuated()
--- a/testing/core/test_in_force.py
+++ b/testing/core/test_in_force.py
@@ -1,6 +1,7 @@
-"""What is acknowledged is obeyed by every box that may act, over leaders and lost answers.
+"""Acknowledged orders are applied by every box with a valid lease.
 
-The real sessions, leases and halls, in virtual time; the log is one that leaders apply at once.
+Simulates leader changes, restarts and lost messages in virtual time with the real sessions, leases
+and halls. The log is reduced to one state that each leader sees at once.
 """
 
 from __future__ import annotations
@@ -18,30 +19,30 @@
 
 
 @attrs.define
-class Router:
-    """A box as it sees itself."""
+class SimulatedRouter:
+    """A box's own view: its lease and the evacuated halls that it applies."""
 
     lease: leases.HeldLease = attrs.field(factory=lambda: leases.HeldLease(MARGIN_S))
-    obeys: halls.Evacuated = attrs.field(factory=halls.Evacuated)
+    evacuated: halls.Evacuated = attrs.field(factory=halls.Evacuated)
 
 
 class Fleet:
-    """One leader at a time and three boxes that are registered."""
+    """Three registered boxes, one leader at a time, and an operator who orders evacuations."""
 
-    def __init__(self, *, waits_for_unheard=True, tells_with_lease=True):
+    def __init__(self, *, waits_for_unheard_boxes=True, sends_state_with_lease=True):
         self.now_s = 100.0
         self.evacuated = halls.Evacuated()
-        self.waits_for_unheard = waits_for_unheard
-        self.tells_with_lease = tells_with_lease
-        self.routers = {name: Router() for name in BOXES}
+        self.waits_for_unheard_boxes = waits_for_unheard_boxes
+        self.sends_state_with_lease = sends_state_with_lease
+        self.routers = {name: SimulatedRouter() for name in BOXES}
         self.waiting = []
         self.acknowledged = halls.Evacuated()
         self.lead()
 
     def lead(self):
-        """Another box leads: whoever waited at the one before is told nothing."""
+        """Change the leader: operators waiting at the previous one get no answer."""
         self.leader = sessions.Sessions(LEASE_S, MARGIN_S)
-        self.leader.begin(BOXES if self.waits_for_unheard else (), self.now_s)
+        self.leader.begin(BOXES if self.waits_for_unheard_boxes else (), self.now_s)
         self.waiting = []
 
     def order(self, evacuate):
@@ -49,32 +50,32 @@
         self.evacuated = change("hall")
         self.waiting.append(self.evacuated)
 
-    def renew(self, name, reaches, comes_back, took_s):
-        """A box renews; its report or the answer may be lost, and both take time."""
+    def renew(self, name, report_arrives, answer_arrives, took_s):
+        """Renew the lease of a box; the report or the answer may be lost, and both take time."""
         router = self.routers[name]
         sent_s = self.now_s
-        known = sessions.Known(halls_revision=router.obeys.revision)
-        if reaches:
+        known = sessions.Known(halls_revision=router.evacuated.revision)
+        if report_arrives:
             box = membership.Box(name, "h", "", "")
             self.leader.renew(box, known, listed_counts.Load(), self.now_s)
-        told = self.evacuated
-        self.settle()
+        answered = self.evacuated
+        self.acknowledge_in_force()
         self.pass_time(took_s)
-        if reaches and comes_back:
-            if self.tells_with_lease:
-                router.obeys = told
+        if report_arrives and answer_arrives:
+            if self.sends_state_with_lease:
+                router.evacuated = answered
             router.lease.renewed(sent_s, LEASE_S)
 
     def restart(self, name):
-        self.routers[name] = Router()
+        self.routers[name] = SimulatedRouter()
 
     def pass_time(self, seconds_s):
         self.now_s += seconds_s
         self.leader.expire(self.now_s)
-        self.settle()
+        self.acknowledge_in_force()
 
-    def settle(self):
-        """Acknowledge what is in force."""
+    def acknowledge_in_force(self):
+        """Acknowledge orders that all boxes with a lease apply."""
         for each in list(self.waiting):
             wanted = sessions.Known(halls_revision=each.revision)
             if not self.leader.waiting_for(wanted, self.now_s):
@@ -82,12 +83,13 @@
                 if each.revision > self.acknowledged.revision:
                     self.acknowledged = each
 
-    def disobedient(self):
-        """Return the boxes that may act and obey something older than what is acknowledged."""
+    def stale_boxes(self):
+        """Return the boxes with a valid lease that apply an older revision than acknowledged."""
         return [
             name
             for name, router in self.routers.items()
-            if router.lease.holds(self.now_s) and router.obeys.revision < self.acknowledged.revision
+            if router.lease.holds(self.now_s)
+            and router.evacuated.revision < self.acknowledged.revision
         ]
 
 
@@ -109,18 +111,18 @@
 )
 
 
-def first_disobedient(fleet, steps):
+def first_stale_boxes(fleet, steps):
     for name, *arguments in steps:
         getattr(fleet, name)(*arguments)
-        if fleet.disobedient():
-            return fleet.disobedient()
+        if fleet.stale_boxes():
+            return fleet.stale_boxes()
     return []
 
 
 @settings(max_examples=1000, deadline=None)
 @given(STEPS)
-def test_no_box_that_may_act_obeys_less_than_what_is_acknowledged(steps):
-    assert first_disobedient(Fleet(), steps) == []
+def test_every_box_with_a_valid_lease_applies_acknowledged_orders(steps):
+    assert first_stale_boxes(Fleet(), steps) == []
 
 
 EVACUATED = [("renew", "a", True, True, 0.0), ("order", True)]
@@ -129,29 +131,29 @@
 @pytest.mark.parametrize(
     ("mutation", "steps"),
     [
-        # A new leader must wait for those that it has not heard.
+        # A new leader does not wait for boxes that have not renewed with it yet.
         (
-            {"waits_for_unheard": False},
+            {"waits_for_unheard_boxes": False},
             [*EVACUATED, ("lead",), ("order", True), ("pass_time", 0.1)],
         ),
-        # A lease without what it came with.
+        # A box renews its lease without applying the state in the answer.
         (
-            {"tells_with_lease": False},
+            {"sends_state_with_lease": False},
             [("order", True), ("pass_time", 3.1), ("renew", "a", True, True, 0.0)],
         ),
     ],
 )
-def test_each_rule_is_needed(mutation, steps):
-    assert first_disobedient(Fleet(**mutation), steps)
-    assert first_disobedient(Fleet(), steps) == []
+def test_without_either_rule_a_box_applies_an_outdated_revision(mutation, steps):
+    assert first_stale_boxes(Fleet(**mutation), steps)
+    assert first_stale_boxes(Fleet(), steps) == []
 
 
-@pytest.mark.parametrize("boxes_heard", [(), ("a",), BOXES])
-def test_an_order_is_acknowledged_within_a_lease_whoever_is_heard(boxes_heard):
+@pytest.mark.parametrize("renewing_boxes", [(), ("a",), BOXES])
+def test_an_order_is_acknowledged_within_one_lease_whichever_boxes_renew(renewing_boxes):
     fleet = Fleet()
     fleet.order(True)
     for _ in range(31):
-        for name in boxes_heard:
+        for name in renewing_boxes:
             fleet.renew(name, True, True, 0.0)
         fleet.pass_time(0.1)
     assert fleet.acknowledged.names == ("hall",)
--- a/testing/core/test_membership.py
+++ b/testing/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Leases, placement, leaving and the order of engines and boxes."""
+"""Leases, placement of engines, the leaving flag, and the order of engines and boxes."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     drift=st.floats(-0.05, 0.05),
     lease_s=st.floats(1, 60),
 )
-def test_the_holder_stops_before_the_grantor_hands_on(delay_s, drift, lease_s):
-    """Whatever the delay of the answer, as long as drift over a lease is below the margins."""
+def test_the_holder_stops_before_the_grantor_reassigns(delay_s, drift, lease_s):
+    """Holds for any delay of the answer while drift over a lease is below the margins."""
     margin_s = 0.05 * lease_s
     held = leases.HeldLease(margin_s)
     granted = leases.GrantedLeases(lease_s, margin_s)
@@ -42,29 +42,29 @@
     assert held.until_s == 13.5
 
 
-def test_after_a_restart_leases_are_waited_out():
+def test_a_restarted_grantor_waits_for_leases_to_end():
     granted = leases.GrantedLeases(4.0, 0.2)
     granted.assume("box", 100.0)
     assert granted.live("box", 104.1)
     assert granted.expire(104.2) == ["box"]
 
 
-def test_engines_are_balanced_and_held_ones_stay():
+def test_engines_are_balanced_and_owned_ones_stay():
     owners = {"e-0": "a", "e-1": "a"}
     engines = tuple(f"e-{number}" for number in range(6))
-    made = placement.grants(engines, ("a", "b"), owners, frozenset())
-    assert sorted(grant.engine for grant in made) == ["e-2", "e-3", "e-4", "e-5"]
-    assert sum(grant.box == "b" for grant in made) == 3
+    grants = placement.grants(engines, ("a", "b"), owners, frozenset())
+    assert sorted(grant.engine for grant in grants) == ["e-2", "e-3", "e-4", "e-5"]
+    assert sum(grant.box == "b" for grant in grants) == 3
 
 
-def test_an_engine_moves_only_when_free_of_its_lease():
+def test_an_engine_moves_only_after_its_owners_lease_has_ended():
     owners = {"e-0": "gone"}
     assert placement.grants(("e-0",), ("a",), owners, frozenset()) == []
     moved = placement.grants(("e-0",), ("a",), owners, frozenset({"e-0"}))
     assert moved == [placement.Grant("e-0", "a")]
 
 
-def test_a_box_gives_up_its_surplus_and_a_draining_one_all():
+def test_a_box_gives_up_its_surplus_engines_and_a_draining_box_all():
     owners = tuple(membership.Ownership(f"e-{n}", "a", 1) for n in range(4))
     directory = membership.Directory(boxes=(box("a"), box("b")), owners=owners)
     assert placement.to_give_up("a", directory, draining=False) == ("e-2", "e-3")
@@ -77,7 +77,7 @@
     assert not membership.keep_leaving(known, (engine("e", incarnation="2"),))[0].leaving
 
 
-def test_one_engine_that_leaves_moves_only_its_own_chats():
+def test_removing_an_engine_moves_only_its_own_chats():
     names = [f"e-{number}" for number in range(10)]
     moved = 0
     for number in range(500):
@@ -96,7 +96,7 @@
     assert key != choice.chat_key("clinic", "m", "", later[2:])
 
 
-def test_the_owner_of_a_chats_engine_is_named_first_and_a_draining_box_never():
+def test_the_owner_of_a_chats_engine_comes_first_and_a_draining_box_never():
     owners = (membership.Ownership("e", "b", 1),)
     boxes = (box("a"), box("b"), box("c"))
     directory = membership.Directory(1, boxes, (engine("e"),), owners)
