--- a/src/croftpulley/core/sessions.py
+++ b/src/croftpulley/core/sessions.py
@@ -101,7 +101,7 @@
         load: listed_counts.Load,
         now_s: float,
     ) -> bool:
-        """Grant or renew a box's lease; ``known`` is what the box applies.
+        """Grant or renew a box's lease; ``applied`` is what the box applies.
 
         Returns whether the box is new to this leader or applies something else than before.
         """
