--- a/src/croftpulley/core/origins.py
+++ b/src/croftpulley/core/origins.py
@@ -99,8 +99,8 @@
     def note(self, told: Told, now_s: float, *, is_told: bool = True) -> None:
         """Remember a stream, or extend how long it is remembered.
 
-        With ``is_told`` false the stream is announced by the next `take_unannounced`. A stream with
-        too long an id is ignored.
+        With ``is_told`` false the stream is announced by the next `take_unannounced`. A stream
+        with too long an id is ignored.
         """
         stream = told.stream
         if len(stream.request_id) > LONGEST_ID:
