--- a/src/croftpulley/core/agreed.py
+++ b/src/croftpulley/core/agreed.py
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class DropClaims:
-    """Drops claims made before ``before_wall_s``, a bounded number per command."""
+    """Drops claims older than the claim window, a bounded number per command."""
 
     before_wall_s: float
 
--- a/src/croftpulley/core/claims.py
+++ b/src/croftpulley/core/claims.py
@@ -1,4 +1,7 @@
-"""Claims on idempotency keys: a call that must not run twice is claimed before it is sent."""
+"""Claims on idempotency keys.
+
+A call that must not run twice is claimed before it is sent to a worker.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
 
 @attrs.define
 class Claims:
-    """All claims that have not been dropped yet, by workspace and key, oldest first."""
+    """All claims inside the claim window, by workspace and key, oldest first."""
 
     by_key: dict[tuple[str, str], Claim] = attrs.field(factory=dict)
 
