--- a/src/croftpulley/core/replication/applying.py
+++ b/src/croftpulley/core/replication/applying.py
@@ -1,4 +1,4 @@
-"""What of the log has been committed, taken and applied, whole commands only."""
+"""Delivery of committed entries to the state machine, and snapshots of its state."""
 
 from __future__ import annotations
 
@@ -6,53 +6,57 @@
 from croftpulley.core.replication import state as states
 
 
-class Applying:
-    """Hands out committed entries, and makes and takes snapshots."""
+class Applier:
+    """Delivers committed entries, creates snapshots and installs those from the leader."""
 
     def __init__(self, state: states.State) -> None:
         self._state = state
-        self._taken_index = state.log.snapshot.index
-        self._assembly = long_texts.Assembly()
+        self._delivered_index = state.log.snapshot.index
+        self._assembler = long_texts.CommandAssembler()
         self._installed: messages.Snapshot | None = None
         self.applied_index = state.log.snapshot.index
-        """Up to which entry the caller has taken all commands whole."""
+        """Index of the last delivered entry that leaves no command incomplete."""
 
     def install(self, snapshot: messages.Snapshot) -> None:
-        """Begin the log anew from a snapshot that has arrived whole."""
+        """Replace the log by a complete snapshot received from the leader."""
         self._state.log.compact(snapshot)
         self._state.commit_index = snapshot.index
-        self._taken_index = snapshot.index
+        self._delivered_index = snapshot.index
         self.applied_index = snapshot.index
-        self._assembly.clear()
+        self._assembler.clear()
         self._installed = snapshot
 
     def take_installed(self) -> messages.Snapshot | None:
-        """Return the leader's snapshot if one replaced this log since the last call.
+        """Return the leader's snapshot if one replaced this log since the last call, else ``None``.
 
-        The caller restores the agreed state from it and writes the disk anew, before it applies
-        what `take_committed` returns.
+        The caller must restore the state machine from it and rewrite the store before it applies
+        the entries that `take_committed` returns.
         """
         installed, self._installed = self._installed, None
         return installed
 
     def take_committed(self) -> list[tuple[int, messages.Entry]]:
-        """Return the committed entries that were not taken yet, with their indexes.
+        """Return the committed entries that were not returned before, with their indexes.
 
-        A command in several entries is returned whole, at the index of the last of them.
+        A command split over several entries is returned once, reassembled, with the index of its
+        last entry.
         """
         taken: list[tuple[int, messages.Entry]] = []
-        for index in range(self._taken_index + 1, self._state.commit_index + 1):
-            entry = self._assembly.take(self._state.log.entry(index))
+        for index in range(self._delivered_index + 1, self._state.commit_index + 1):
+            entry = self._assembler.add(self._state.log.entry(index))
             if entry is not None:
                 taken.append((index, entry))
-            if self._assembly.is_whole:
-                # A snapshot must not stand for a part of a command.
+            if self._assembler.is_whole:
+                # A snapshot must not end within a command that is split over several entries.
                 self.applied_index = index
-        self._taken_index = self._state.commit_index
+        self._delivered_index = self._state.commit_index
         return taken
 
     def snapshot(self, state: str) -> messages.Snapshot:
-        """Compact the log; ``state`` is the agreed state after all entries taken so far."""
+        """Compact the log and return the snapshot.
+
+        ``state`` is the encoded state machine after all entries returned so far.
+        """
         index = self.applied_index
         snapshot = messages.Snapshot(
             index=index,
--- a/src/croftpulley/core/replication/leading.py
+++ b/src/croftpulley/core/replication/leading.py
@@ -1,89 +1,102 @@
-"""How a replica leads: entries to the others, commits, changes of the set, and its authority."""
+"""Leader side of replication: append requests, commits, membership changes, leader lease."""
 
 from __future__ import annotations
 
 from croftpulley.core.replication import long_texts, membership, messages, progress
 from croftpulley.core.replication import state as states
 
-KEPT_FOR_SNAPSHOTS = 4
-"""So many times the usual length of the log may be kept more while a replica is sent a snapshot."""
+EXTRA_LOG_FACTOR_DURING_SNAPSHOT = 4
+"""While a snapshot is being sent, the log may exceed its usual limit by this multiple of it."""
 
 
-class Leading:
-    """What a leader knows of the others and asks of them."""
+class Leader:
+    """Replicates the log to the other replicas, commits entries and changes the membership."""
 
     def __init__(self, state: states.State) -> None:
         self._state = state
-        self._others = progress.Others(state.id)
-        self._start_index = 0
+        self._tracker = progress.ProgressTracker(state.id)
+        self._term_start_index = 0
         self._leader_since_s = 0.0
 
-    def begin(self, now_s: float, effects: states.Effects) -> None:
-        """Begin a term with an entry of its own."""
+    def become_leader(self, now_s: float, effects: states.Effects) -> None:
+        """Become leader and append the `START` entry of the term."""
         self._state.role = states.Role.LEADER
         self._state.leader = self._state.id
         self._leader_since_s = now_s
-        self._others.forget()
-        self._append((self._entry(messages.EntryKind.START),), effects)
-        self._start_index = self._state.log.last_index
-        self._advance()
+        self._tracker.reset()
+        self._append((self._new_entry(messages.EntryKind.START),), effects)
+        self._term_start_index = self._state.log.last_index
+        self._advance_commit_index()
         self._send_appends(now_s, effects, heartbeat=True)
 
-    def is_long(self, most_entries: int) -> bool:
-        """Tell whether the log should be compacted: it has more than ``most_entries``.
+    def should_compact(self, max_entries: int) -> bool:
+        """Return whether the log should be compacted because it has more than ``max_entries``.
 
-        While a snapshot is under way it may have several times as many, since a replica that has
-        just got one needs the entries after it, or it would be sent another and never catch up.
+        The limit is several times higher while a snapshot is being sent. A replica that has just
+        installed one needs the entries after it; otherwise it would be sent another snapshot and
+        never catch up.
         """
-        if self._state.role is states.Role.LEADER and self._others.are_sent_snapshots():
-            most_entries *= 1 + KEPT_FOR_SNAPSHOTS
-        return len(self._state.log.entries) > most_entries
+        if self._state.role is states.Role.LEADER and self._tracker.is_sending_snapshot():
+            max_entries *= 1 + EXTRA_LOG_FACTOR_DURING_SNAPSHOT
+        return len(self._state.log.entries) > max_entries
 
-    def authority_until_s(self, now_s: float) -> float:
-        """Return until when no other replica can have become leader, ``-inf`` if unknown.
+    def leader_lease_until_s(self, now_s: float) -> float:
+        """Return when the leader lease ends; until then no other replica can become leader.
 
-        A quorum has followed this leader at the moment returned by its progress, and none of them
-        gives a vote within ``election_s`` of it. Until the first entry of the term is committed a
-        leader may not know all that its predecessors committed.
+        Returns ``-inf`` if this replica holds no lease. The lease starts when the newest requests
+        were sent that a quorum has acknowledged: these voters followed this leader then and give
+        no vote within ``election_s`` of it. Until the first entry of its term is committed, a
+        leader may not know all that its predecessors committed, so it has no lease.
         """
         if (
             self._state.role is not states.Role.LEADER
-            or self._state.commit_index < self._start_index
+            or self._state.commit_index < self._term_start_index
         ):
             return float("-inf")
         return (
-            self._others.quorum_sent_s(self._state.members, now_s)
+            self._tracker.quorum_acknowledged_sent_s(self._state.members, now_s)
             + self._state.timing.election_s * self._state.timing.drift
         )
 
     def silent_addresses(self, now_s: float) -> tuple[str, ...]:
-        """Return where the members are reached that lately answered this leader nothing."""
+        """Return the addresses of members that answered nothing within the reply timeout.
+
+        Empty if this replica isn't the leader.
+        """
         if self._state.role is not states.Role.LEADER:
             return ()
-        silent = self._others.silent(now_s, self._state.timing.answer_s)
+        silent = self._tracker.silent(now_s, self._state.timing.reply_timeout_s)
         return tuple(each.address for each in self._state.members.members if each.replica in silent)
 
     def tick(self, now_s: float, effects: states.Effects) -> None:
-        """Send heartbeats, change the set if that is due, or step down without a quorum."""
-        heard_s = max(self._others.quorum_sent_s(self._state.members, now_s), self._leader_since_s)
-        if now_s - heard_s > 2 * self._state.timing.election_s:
-            self._state.follow(self._state.term, "", now_s)
+        """Send heartbeats and make a membership change that is due.
+
+        A leader that has had no contact with a quorum for two election timeouts steps down instead.
+        """
+        quorum_contact_s = max(
+            self._tracker.quorum_acknowledged_sent_s(self._state.members, now_s),
+            self._leader_since_s,
+        )
+        if now_s - quorum_contact_s > 2 * self._state.timing.election_s:
+            self._state.become_follower(self._state.term, "", now_s)
             return
-        change = self._next_members(now_s)
-        if change is not None:
-            self._append((self._entry(messages.EntryKind.MEMBERS, members=change),), effects)
-            self._advance()
+        new_members = self._next_members(now_s)
+        if new_members is not None:
+            self._append(
+                (self._new_entry(messages.EntryKind.MEMBERS, members=new_members),), effects
+            )
+            self._advance_commit_index()
         self._send_appends(now_s, effects, heartbeat=True)
 
     @property
-    def _set_is_committed(self) -> bool:
-        """Tell whether the set may change: the last change and this term's start are committed."""
-        newest = max(self._state.log.members_index(), self._start_index)
+    def _can_change_members(self) -> bool:
+        """Whether the last membership change and the term's `START` entry are both committed."""
+        newest = max(self._state.log.members_index(), self._term_start_index)
         return newest <= self._state.commit_index
 
     def _next_members(self, now_s: float) -> messages.Members | None:
-        """Return the next set, if one is due and the last change is committed."""
-        if not self._set_is_committed:
+        """Return the next membership, or ``None`` if no change is due or one is uncommitted."""
+        if not self._can_change_members:
             return None
         members = self._state.members
         timing = self._state.timing
@@ -91,19 +104,19 @@
             each
             for each in members.members
             if not each.voter
-            and self._others.has_caught_up(
+            and self._tracker.has_caught_up(
                 each.replica, self._state.commit_index, now_s, within_s=timing.election_s
             )
         )
-        silent = self._others.silent(now_s, timing.silent_s)
-        gone = self._others.silent(now_s, timing.gone_s)
-        change = membership.promoted(members, ready, silent)
-        return change or membership.without_silent(members, gone)
+        silent = self._tracker.silent(now_s, timing.replace_after_s)
+        gone = self._tracker.silent(now_s, timing.remove_after_s)
+        new_members = membership.with_promoted_learner(members, ready, silent)
+        return new_members or membership.without_silent(members, gone)
 
     def propose(self, payloads: list[str], now_s: float) -> tuple[states.Effects, tuple[int, ...]]:
-        """Append commands; return the index of each one's last entry.
+        """Append commands and return the index of each command's last entry.
 
-        There are no indexes where this replica does not lead.
+        There are no indexes if this replica isn't the leader.
         """
         effects = states.Effects()
         if self._state.role is not states.Role.LEADER:
@@ -114,102 +127,109 @@
             entries += self._command_entries(payload)
             indexes.append(self._state.log.last_index + len(entries))
         self._append(tuple(entries), effects)
-        self._advance()
+        self._advance_commit_index()
         self._send_appends(now_s, effects, heartbeat=False)
         return effects, tuple(indexes)
 
     def _command_entries(self, payload: str) -> list[messages.Entry]:
         *before, last = long_texts.split(payload)
         kind = messages.EntryKind.COMMAND
-        entries = [messages.Entry(self._state.term, kind, part, continues=True) for part in before]
+        entries = [
+            messages.Entry(self._state.term, kind, chunk, continues=True) for chunk in before
+        ]
         return [*entries, messages.Entry(self._state.term, kind, last)]
 
     def admit(self, request: messages.JoinRequest, now_s: float) -> tuple[states.Effects, bool]:
-        """Take a replica in as a learner; return whether it is in the set now."""
+        """Add a replica as a learner; return whether it is a member now."""
         effects = states.Effects()
         if self._state.role is not states.Role.LEADER:
             return effects, False
         if self._state.members.find(request.replica) is not None:
             return effects, True
-        if not self._set_is_committed:
+        if not self._can_change_members:
             return effects, False
-        change = membership.with_learner(self._state.members, request.replica, request.address)
-        self._append((self._entry(messages.EntryKind.MEMBERS, members=change),), effects)
-        self._advance()
+        new_members = membership.with_learner(self._state.members, request.replica, request.address)
+        self._append((self._new_entry(messages.EntryKind.MEMBERS, members=new_members),), effects)
+        self._advance_commit_index()
         self._send_appends(now_s, effects, heartbeat=False)
         return effects, True
 
     def failed(self, replica: str, now_s: float) -> None:
-        """Note that a request to ``replica`` got no answer."""
-        known = self._others.find(replica)
-        if known is not None:
-            known.in_flight = False
+        """Record that a request to ``replica`` failed, so that the next one may be sent."""
+        peer = self._tracker.find(replica)
+        if peer is not None:
+            peer.in_flight = False
 
     def on_reply(
         self, reply: messages.AppendReply | messages.SnapshotReply, sent_s: float, now_s: float
     ) -> states.Effects:
-        """Note what another replica holds, and send it more."""
+        """Update a replica's progress from its reply, and send what it lacks."""
         effects = states.Effects()
         if reply.term > self._state.term:
-            self._state.follow(reply.term, "", now_s)
-            self._state.save(effects)
+            self._state.become_follower(reply.term, "", now_s)
+            self._state.add_write(effects)
             return effects
-        known = self._others.find(reply.replica)
+        peer = self._tracker.find(reply.replica)
         if (
             self._state.role is not states.Role.LEADER
-            or known is None
+            or peer is None
             or reply.term < self._state.term
         ):
             return effects
-        known.in_flight = False
-        known.acknowledged(sent_s)
+        peer.in_flight = False
+        peer.record_acknowledgement(sent_s)
         if isinstance(reply, messages.SnapshotReply):
-            known.received(reply)
+            peer.record_snapshot_reply(reply)
         elif reply.success:
-            known.holds(reply.match_index)
+            peer.record_match(reply.match_index)
         else:
-            known.next_index = max(1, min(known.next_index - 1, reply.match_index + 1))
-        self._advance()
+            peer.next_index = max(1, min(peer.next_index - 1, reply.match_index + 1))
+        self._advance_commit_index()
         self._send_appends(now_s, effects, heartbeat=False)
         return effects
 
-    def _entry(
+    def _new_entry(
         self, kind: messages.EntryKind, members: messages.Members | None = None
     ) -> messages.Entry:
         return messages.Entry(self._state.term, kind, members=members)
 
     def _append(self, entries: tuple[messages.Entry, ...], effects: states.Effects) -> None:
         first_index = self._state.log.last_index + 1
-        self._state.log.put(first_index, entries)
-        self._state.save(effects, first_index, entries)
+        self._state.log.replace_from(first_index, entries)
+        self._state.add_write(effects, first_index, entries)
 
-    def _advance(self) -> None:
-        """Commit what a quorum holds, if the newest of it is of this term."""
-        index = self._others.quorum_index(self._state.members, self._state.log.last_index)
+    def _advance_commit_index(self) -> None:
+        """Commit the entries that a quorum holds, if the last of them is of the current term."""
+        index = self._tracker.quorum_index(self._state.members, self._state.log.last_index)
         if index > self._state.commit_index and self._state.log.term_at(index) == self._state.term:
             self._state.commit_index = index
 
     def _send_appends(self, now_s: float, effects: states.Effects, *, heartbeat: bool) -> None:
-        """Send to each replica that is due and has no request under way."""
+        """Send to each replica that lacks entries or, with ``heartbeat``, is due for one.
+
+        Replicas with a request in flight are skipped.
+        """
         timing = self._state.timing
-        self._others.follow(self._state.members, self._state.log.last_index + 1, now_s)
-        pause_s = timing.heartbeat_s if heartbeat else None
-        due = self._others.take_due(self._state.log.last_index, now_s, timing.answer_s, pause_s)
-        for replica, known in due:
-            effects.sends.append(self._append_request(replica, known))
-
-    def _append_request(self, replica: str, known: progress.Progress) -> messages.Request:
-        previous_index = known.next_index - 1
+        self._tracker.set_members(self._state.members, self._state.log.last_index + 1, now_s)
+        heartbeat_interval_s = timing.heartbeat_s if heartbeat else None
+        due = self._tracker.claim_due(
+            self._state.log.last_index, now_s, timing.reply_timeout_s, heartbeat_interval_s
+        )
+        for replica, peer in due:
+            effects.sends.append(self._append_request(replica, peer))
+
+    def _append_request(self, replica: str, peer: progress.Progress) -> messages.Request:
+        previous_index = peer.next_index - 1
         previous_term = self._state.log.term_at(previous_index)
         if previous_term is None:
-            return self._snapshot_request(replica, known.snapshot_part(self._state.log.snapshot))
+            return self._snapshot_request(replica, peer.current_snapshot(self._state.log.snapshot))
         return messages.AppendRequest(
             to=replica,
             term=self._state.term,
             leader=self._state.id,
             previous_index=previous_index,
             previous_term=previous_term,
-            entries=self._state.log.slice(known.next_index, long_texts.PART_LENGTH),
+            entries=self._state.log.entries_from(peer.next_index, long_texts.PART_LENGTH),
             commit_index=self._state.commit_index,
         )
 
--- a/src/croftpulley/core/replication/log.py
+++ b/src/croftpulley/core/replication/log.py
@@ -1,4 +1,4 @@
-"""The part of the log that a replica holds in memory: a snapshot and the entries after it."""
+"""A replica's in-memory log: a snapshot and the entries after it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
 
 @attrs.define
 class Log:
-    """Entries are numbered from 1; those up to the snapshot's index are only in the snapshot.
+    """A snapshot and the entries after it.
+
+    Entries are numbered from 1; those up to the snapshot's index are only in the snapshot.
 
     >>> log = Log()
-    >>> log.put(1, (messages.Entry(1, messages.EntryKind.START),))
+    >>> log.replace_from(1, (messages.Entry(1, messages.EntryKind.START),))
     >>> log.last_index, log.term_at(1), log.term_at(2)
     (1, 1, None)
     """
@@ -22,7 +24,7 @@
 
     @property
     def last_index(self) -> int:
-        """The number of the last entry."""
+        """The index of the last entry."""
         return self.snapshot.index + len(self.entries)
 
     @property
@@ -31,7 +33,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or ``None`` if it is not known here."""
+        """Return the term of an entry, or ``None`` if it is compacted or not in the log yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -40,30 +42,33 @@
         return None
 
     def entry(self, index: int) -> messages.Entry:
-        """Return an entry that is held."""
+        """Return an entry, which must be after the snapshot."""
         return self.entries[index - self.snapshot.index - 1]
 
-    def slice(self, first_index: int, length_limit: int) -> tuple[messages.Entry, ...]:
-        """Return entries from ``first_index`` on: at least one, then as many as fit.
+    def entries_from(self, first_index: int, max_length: int) -> tuple[messages.Entry, ...]:
+        """Return entries from ``first_index`` on with at most ``max_length`` payload characters.
 
-        ``length_limit`` counts the characters of their payloads.
+        The first entry is returned even if it alone is longer.
         """
         chosen: list[messages.Entry] = []
         length = 0
         for entry in self.entries[first_index - self.snapshot.index - 1 :]:
             length += len(entry.payload)
-            if chosen and length > length_limit:
+            if chosen and length > max_length:
                 break
             chosen.append(entry)
         return tuple(chosen)
 
-    def put(self, first_index: int, entries: tuple[messages.Entry, ...]) -> None:
-        """Replace everything from ``first_index`` on."""
+    def replace_from(self, first_index: int, entries: tuple[messages.Entry, ...]) -> None:
+        """Replace all entries from ``first_index`` on by ``entries``."""
         del self.entries[first_index - self.snapshot.index - 1 :]
         self.entries.extend(entries)
 
-    def new_among(self, first_index: int, entries: tuple[messages.Entry, ...]) -> int | None:
-        """Return the index of the first of ``entries`` that the log lacks or contradicts."""
+    def first_new_index(self, first_index: int, entries: tuple[messages.Entry, ...]) -> int | None:
+        """Return the index of the first of ``entries`` that is missing here or conflicts.
+
+        ``None`` if the log has all of them.
+        """
         for position, entry in enumerate(entries):
             index = first_index + position
             if index <= self.snapshot.index:
@@ -73,21 +78,21 @@
         return None
 
     def members(self) -> messages.Members:
-        """Return the newest set of replicas in the log; it counts from when it was appended."""
+        """Return the newest membership in the log, which is in effect as soon as it is appended."""
         for entry in reversed(self.entries):
             if entry.members is not None:
                 return entry.members
         return self.snapshot.members
 
     def members_index(self) -> int:
-        """Return the index of the newest set of replicas."""
+        """Return the index of the entry or snapshot with the newest membership."""
         for position in range(len(self.entries) - 1, -1, -1):
             if self.entries[position].members is not None:
                 return self.snapshot.index + position + 1
         return self.snapshot.index
 
     def members_at(self, index: int) -> messages.Members:
-        """Return the set of replicas as of entry ``index``."""
+        """Return the membership as of entry ``index``."""
         held = self.entries[: index - self.snapshot.index]
         for entry in reversed(held):
             if entry.members is not None:
@@ -95,7 +100,11 @@
         return self.snapshot.members
 
     def compact(self, snapshot: messages.Snapshot) -> None:
-        """Drop the entries that ``snapshot`` stands for; keep those after it if they fit."""
+        """Replace the entries that ``snapshot`` covers by it.
+
+        Entries after it are kept only if the log has the snapshot's last entry with the same term.
+        A snapshot that is no newer than the log's own is ignored.
+        """
         if snapshot.index <= self.snapshot.index:
             return
         if self.term_at(snapshot.index) == snapshot.term:
--- a/src/croftpulley/core/replication/membership.py
+++ b/src/croftpulley/core/replication/membership.py
@@ -1,8 +1,8 @@
-"""Which change of the replica set a leader should make next, if any.
+"""Chooses the next membership change that a leader should make, if any.
 
 Changes are made one at a time, and each adds, removes or replaces one replica. Replacing is safe
 in one step only because the replaced id never acts again: a replica that lost its disk comes back
-under a new id, and a replica without its leader's set takes no part in elections.
+under a new id, and a replica that has no membership from a leader takes no part in elections.
 """
 
 from __future__ import annotations
@@ -11,26 +11,27 @@
 
 from croftpulley.core.replication import messages
 
-FEWEST_VOTERS = 3
-"""A set is never shrunk below this: with fewer, one loss more would stop it."""
-MOST_VOTERS = 7
-"""More would slow every commit and bear more losses than any site asks for."""
+MIN_VOTERS = 3
+"""Voters are never removed below this: with fewer, one more failure would lose the quorum."""
+MAX_VOTERS = 7
+"""More voters would slow every commit and tolerate more failures than any site requires."""
 
 
 def with_learner(members: messages.Members, replica: str, address: str) -> messages.Members:
-    """Return the set with a new learner in place of any other learner at its address."""
+    """Return the membership with a new learner, which replaces any other at its address."""
     kept = [each for each in members.members if each.voter or each.address != address]
     return messages.Members((*kept, messages.Member(replica, address, voter=False)))
 
 
-def promoted(
+def with_promoted_learner(
     members: messages.Members, ready: tuple[messages.Member, ...], silent: frozenset[str]
 ) -> messages.Members | None:
-    """Return the set in which a learner that has caught up has a vote, or ``None``.
+    """Return the membership with one learner made a voter, or ``None`` if none should be.
 
-    ``ready`` are the learners that have caught up. One takes the place of the voter at its own
-    address, whose disk is gone, else of a voter that is silent. Else it is one more, but only
-    towards an odd number, since an even set bears no more losses than one fewer.
+    ``ready`` are the learners that have caught up, ``silent`` the ids that stopped answering. A
+    learner replaces the voter at its own address, which has lost its disk, else a silent voter.
+    Otherwise it is added, but only if that leads to an odd number of voters, since an even number
+    tolerates no more failures than one fewer does.
     """
     voters = [each for each in members.members if each.voter]
     for learner in ready:
@@ -39,7 +40,7 @@
         for replaced in (*same_address, *gone):
             return _with_vote(members, learner, replaced)
     grows_to_odd = len(voters) % 2 == 0 or len(ready) > 1
-    if ready and grows_to_odd and len(voters) < MOST_VOTERS:
+    if ready and grows_to_odd and len(voters) < MAX_VOTERS:
         return _with_vote(members, ready[0], None)
     return None
 
@@ -52,15 +53,16 @@
 
 
 def without_silent(members: messages.Members, silent: frozenset[str]) -> messages.Members | None:
-    """Return the set without a silent replica that it does not need, or ``None``.
+    """Return the membership without one silent replica that isn't needed, or ``None``.
 
-    An even number of voters bears no more losses than one fewer does. A silent voter of an odd
-    set stays: it may only be cut off, and comes back with all that it acknowledged.
+    Silent learners are removed, and silent voters if the number of voters is even, since that
+    tolerates no more failures than one fewer does. A silent voter of an odd number stays: it may
+    only be partitioned from the others, and returns with all that it acknowledged.
     """
     for each in members.members:
         if each.replica not in silent:
             continue
-        surplus = len(members.voters) % 2 == 0 and len(members.voters) > FEWEST_VOTERS
+        surplus = len(members.voters) % 2 == 0 and len(members.voters) > MIN_VOTERS
         if not each.voter or surplus:
             return messages.Members(tuple(other for other in members.members if other != each))
     return None
--- a/src/croftpulley/core/replication/messages.py
+++ b/src/croftpulley/core/replication/messages.py
@@ -1,4 +1,4 @@
-"""What replicas say to each other, and what they keep."""
+"""Messages between replicas, and the values that they store."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class EntryKind(enum.Enum):
-    """What an entry of the log holds."""
+    """The kind of a log entry."""
 
     COMMAND = "command"
-    """A command of the agreed state; opaque here."""
+    """A command of the state machine; its payload isn't interpreted here."""
     MEMBERS = "members"
-    """The set of replicas from this entry on; the payload is empty, ``members`` is set."""
+    """The membership from this entry on; the payload is empty, ``members`` is set."""
     START = "start"
-    """The first entry of a leader's term, without content."""
+    """The first entry of a leader's term; it has no content."""
 
 
 @attrs.frozen
 class Member:
-    """A replica of the set. A learner copies the log and has no vote."""
+    """A member: a voter, or a learner, which replicates the log but has no vote."""
 
     replica: str
     address: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Members:
-    """A set of replicas."""
+    """The membership: all voters and learners."""
 
     members: tuple[Member, ...] = ()
 
@@ -40,7 +40,7 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters make a majority.
+        """The number of voters that make a majority.
 
         >>> Members((Member("a", ""), Member("b", ""), Member("c", "", voter=False))).quorum
         2
@@ -48,13 +48,13 @@
         return len(self.voters) // 2 + 1
 
     def find(self, replica: str) -> Member | None:
-        """Return the member with this id."""
+        """Return the member with this id, or ``None``."""
         return next((each for each in self.members if each.replica == replica), None)
 
 
 @attrs.frozen
 class Entry:
-    """One entry of the log; with ``continues`` its command goes on in the next entry."""
+    """One log entry; with ``continues`` its command is continued in the next entry."""
 
     term: int
     kind: EntryKind
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """The agreed state after entry ``index``, which stands for all entries up to it."""
+    """The encoded state machine after entry ``index``; replaces all entries up to it."""
 
     index: int = 0
     term: int = 0
@@ -75,9 +75,9 @@
 
 @attrs.frozen
 class Write:
-    """What must be on the disk before anything of the same effects is sent.
+    """A change that must be on the disk before any message of the same effects is sent.
 
-    ``entries`` begin at ``first_index`` and replace whatever the log held from there on.
+    ``entries`` start at ``first_index`` and replace all stored entries from there on.
     """
 
     term: int
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Stored:
-    """What a replica finds on its disk when it starts."""
+    """A replica's persistent state, as loaded when it starts."""
 
     term: int = 0
     voted_for: str = ""
@@ -98,7 +98,7 @@
 
 @attrs.frozen(kw_only=True)
 class VoteRequest:
-    """Asks for a vote; a trial asks only whether there would be one, and changes nothing."""
+    """Requests a vote; with ``trial`` it is a pre-vote, which changes nothing at the voter."""
 
     to: str
     term: int
@@ -110,9 +110,10 @@
 
 @attrs.frozen(kw_only=True)
 class VoteReply:
-    """The answer to a `VoteRequest`. ``member`` tells whether the candidate is one.
+    """The reply to a `VoteRequest`; ``member`` tells whether the candidate is a member.
 
-    A vote with ``if_all`` instead of ``granted`` counts only if every voter gives one.
+    ``if_all`` instead of ``granted`` is a conditional vote: it counts only if every voter votes
+    for the candidate.
     """
 
     voter: str
@@ -125,7 +126,7 @@
 
 @attrs.frozen(kw_only=True)
 class AppendRequest:
-    """Entries from the leader, or none: then a heartbeat."""
+    """Entries from the leader; without entries it is a heartbeat."""
 
     to: str
     term: int
@@ -138,10 +139,10 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotRequest:
-    """A part of the leader's snapshot, for a replica that is behind the log's beginning.
+    """A chunk of the leader's snapshot, for a replica that needs entries already compacted.
 
-    ``text`` begins at character ``offset`` of the state, which has ``length`` characters; the
-    other fields are those of the `Snapshot`.
+    ``text`` starts at character ``offset`` of the state, which has ``length`` characters;
+    ``index``, ``snapshot_term`` and ``members`` are those of the `Snapshot`.
     """
 
     to: str
@@ -157,7 +158,7 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotReply:
-    """The answer to a `SnapshotRequest`: the replica holds ``received`` characters of the state."""
+    """The reply to a `SnapshotRequest`: the replica has ``received`` characters of the state."""
 
     replica: str
     term: int
@@ -167,10 +168,10 @@
 
 @attrs.frozen(kw_only=True)
 class AppendReply:
-    """The answer to an `AppendRequest`.
+    """The reply to an `AppendRequest`.
 
-    Up to ``match_index`` the log agrees with the leader's if ``success``; otherwise the leader
-    should go on from behind it.
+    With ``success``, the log matches the leader's up to ``match_index``. Otherwise the leader
+    should retry with the entries after ``match_index``.
     """
 
     replica: str
@@ -181,7 +182,7 @@
 
 @attrs.frozen(kw_only=True)
 class JoinRequest:
-    """A replica that is in no set asks to be taken in as a learner."""
+    """A replica that isn't a member asks to be added as a learner."""
 
     replica: str
     address: str
@@ -189,7 +190,11 @@
 
 @attrs.frozen(kw_only=True)
 class JoinReply:
-    """``leader_address`` is where to ask, empty if unknown; ``taken`` if this was the leader."""
+    """The reply to a `JoinRequest`.
+
+    ``taken`` tells whether the leader has the replica as a member now; ``leader_address`` is where
+    to ask, empty if unknown.
+    """
 
     taken: bool
     leader_address: str
--- a/src/croftpulley/core/replication/state.py
+++ b/src/croftpulley/core/replication/state.py
@@ -1,4 +1,4 @@
-"""What electing, following and leading share: the term, the vote, the role and the log."""
+"""State shared by elections, followers and leaders: the term, the vote, the role and the log."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
 
 
 class Role(enum.Enum):
-    """What a replica does at the moment."""
+    """A replica's current role."""
 
     FOLLOWER = "follower"
-    TRIAL = "trial"
-    """Asks whether there would be votes, without starting a term."""
+    PRE_CANDIDATE = "trial"
+    """Holds a pre-vote: asks whether an election could be won, without starting a new term."""
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """How long a replica waits for what, in seconds.
-
-    ``election_s``: a voter gives no vote within this of hearing a leader, and asks for votes after
-    one to two times it. ``drift``: what part of it a leader counts on for its authority, so that
-    steady clocks may run apart by the rest. ``silent_s``: a replica unheard of for so long may be
-    replaced; ``gone_s``: one that the set does not need may be removed.
+    """Timeouts and intervals of a replica, in seconds.
+
+    ``election_s``: the election timeout. A voter gives no vote for this long after contact with a
+    leader, and starts an election after one to two times as long. ``lease_fraction``: the part of
+    ``election_s`` that a leader lease lasts; the rest allows for monotonic clocks that run at
+    different rates. ``reply_timeout_s``: how long a request in flight holds back the next one.
+    ``replace_after_s``: a voter silent for this long may be replaced by a learner.
+    ``remove_after_s``: a replica silent for this long is removed if it isn't needed.
     """
 
     election_s: float = 0.45
     heartbeat_s: float = 0.1
-    answer_s: float = 0.5
+    reply_timeout_s: float = 0.5
     drift: float = 0.8
-    silent_s: float = 2.0
-    gone_s: float = 6.0
+    replace_after_s: float = 2.0
+    remove_after_s: float = 6.0
 
 
 @attrs.define
 class Effects:
-    """What the caller must do, in this order: write and sync, then send, answer and apply."""
+    """What the caller must do, in this order: write and sync; then send, reply and apply."""
 
     write: messages.Write | None = None
     sends: list[messages.Request] = attrs.field(factory=list)
@@ -49,14 +51,14 @@
 
 
 class State:
-    """One replica's part of the protocol that is on its disk, and its role, which is not."""
+    """A replica's persistent state, and its volatile state such as the role."""
 
     def __init__(
         self,
         replica: str,
         stored: messages.Stored,
         timing: Timing,
-        chance: random.Random,
+        rng: random.Random,
         now_s: float,
     ) -> None:
         self.id = replica
@@ -67,39 +69,39 @@
         self.log = logs.Log(stored.snapshot, list(stored.entries))
         self.commit_index = stored.snapshot.index
         self.timing = timing
-        self.hearing = voting.Hearing(timing.election_s, started_s=now_s)
-        self.election_at_s = 0.0
+        self.leader_contact = voting.LeaderContact(timing.election_s, started_s=now_s)
+        self.election_due_s = 0.0
         self.is_unknown_to_others = False
-        self._chance = chance
-        self.rest(now_s)
+        self._rng = rng
+        self.reset_election_timer(now_s)
 
     @property
     def members(self) -> messages.Members:
-        """The set of replicas as this one knows it."""
+        """The newest membership in the log."""
         return self.log.members()
 
-    def rest(self, now_s: float) -> None:
-        """Put the next election off by a random time."""
-        self.election_at_s = now_s + self.hearing.pause_s(now_s, self._chance)
+    def reset_election_timer(self, now_s: float) -> None:
+        """Restart the election timer with a random timeout."""
+        self.election_due_s = now_s + self.leader_contact.election_timeout_s(now_s, self._rng)
 
-    def follow(self, term: int, leader: str, now_s: float) -> None:
-        """Become a follower; a newer term has no vote yet."""
+    def become_follower(self, term: int, leader: str, now_s: float) -> None:
+        """Become a follower of ``leader``, empty if unknown; a newer term resets the vote."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
         if self.role is not Role.FOLLOWER:
-            self.rest(now_s)
+            self.reset_election_timer(now_s)
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def save(
+    def add_write(
         self, effects: Effects, first_index: int = 0, entries: tuple[messages.Entry, ...] = ()
     ) -> None:
-        """Add to the one write of these effects."""
-        before = effects.write
-        if before is not None and before.entries:
-            first_index = before.first_index
-            entries = before.entries + entries
+        """Add the term, the vote and ``entries`` to the single write of these effects."""
+        pending = effects.write
+        if pending is not None and pending.entries:
+            first_index = pending.first_index
+            entries = pending.entries + entries
         effects.write = messages.Write(
             self.term, self.voted_for, first_index or self.log.last_index + 1, entries
         )
--- a/src/croftpulley/core/replication/voting.py
+++ b/src/croftpulley/core/replication/voting.py
@@ -1,10 +1,10 @@
-"""What a replica may promise by its vote, and how a candidate counts the votes it gets.
+"""Rules for giving and counting votes.
 
-A voter that follows a leader gives no vote for a while: the leader counts on that for its
-authority. A voter that has only just started has forgotten whom it followed. Its vote is therefore
-given on a condition: it counts only if every voter agrees. Then the last leader is among them, and
-a leader that votes for another has no authority any more. So after a loss of all processes a new
-leader need not wait until every old promise has run out.
+A voter gives no vote for a while after contact with a leader; the leader lease relies on that. A
+voter that has just restarted no longer knows which leader it followed. Its vote is therefore
+conditional: it counts only if every voter votes for the candidate. The last leader is then one of
+them, and a leader that votes for another replica has no lease any more. So after a restart of all
+processes, a new leader can be elected before the previous lease could have expired.
 """
 
 from __future__ import annotations
@@ -15,71 +15,77 @@
 
 from croftpulley.core.replication import messages
 
-FRESH_PAUSE_PART = 0.15
-"""How long a replica that has just started waits between its candidacies, as a part of an election
-timeout; by the bench a vote takes about 10 ms there, far less than this part of 450 ms."""
-FRESH_TIMEOUTS = 2.0
-"""After so many election timeouts without a leader a replica paces itself like any other."""
+RESTART_TIMEOUT_FACTOR = 0.15
+"""Shortens the election timeout of a replica that has just started. In the benchmark a vote takes
+about 10 ms, far less than this fraction of the 450 ms timeout."""
+RESTART_PERIOD_TIMEOUTS = 2.0
+"""The shortened timeout applies for this many election timeouts after a start."""
 
 
 @attrs.define
-class Hearing:
-    """When a replica started, and when it last heard a leader since.
+class LeaderContact:
+    """When a replica started, and its last contact with a leader since (``None``: none yet).
 
-    >>> hearing = Hearing(election_s=1.0, started_s=5.0)
-    >>> hearing.may_vote(5.5), hearing.may_vote_if_all, hearing.may_vote(6.0)
+    >>> contact = LeaderContact(election_s=1.0, started_s=5.0)
+    >>> contact.may_vote(5.5), contact.may_vote_conditionally, contact.may_vote(6.0)
     (False, True, True)
-    >>> hearing.heard(6.0)
-    >>> hearing.may_vote(6.5), hearing.may_vote_if_all
+    >>> contact.record_contact(6.0)
+    >>> contact.may_vote(6.5), contact.may_vote_conditionally
     (False, False)
     """
 
     election_s: float
     started_s: float
-    heard_s: float | None = None
+    last_contact_s: float | None = None
 
-    def heard(self, now_s: float) -> None:
-        """Note a message of a leader."""
-        self.heard_s = now_s
+    def record_contact(self, now_s: float) -> None:
+        """Record a message from a leader."""
+        self.last_contact_s = now_s
 
     def may_vote(self, now_s: float) -> bool:
-        """Tell whether no leader can count on this replica any more."""
-        since_s = self.started_s if self.heard_s is None else self.heard_s
+        """Return whether no leader lease can rely on this voter any more."""
+        since_s = self.started_s if self.last_contact_s is None else self.last_contact_s
         return now_s - since_s >= self.election_s
 
     @property
-    def may_vote_if_all(self) -> bool:
-        """Tell whether a vote may be given that counts only together with all others."""
-        return self.heard_s is None
+    def may_vote_conditionally(self) -> bool:
+        """Whether a conditional vote may be given: there was no leader contact since the start."""
+        return self.last_contact_s is None
 
-    def pause_s(self, now_s: float, chance: random.Random) -> float:
-        """Return how long to wait before the next candidacy: random, so that few coincide."""
-        fresh = self.heard_s is None and now_s - self.started_s < FRESH_TIMEOUTS * self.election_s
-        least_s = self.election_s * (FRESH_PAUSE_PART if fresh else 1.0)
-        return least_s * (1 + chance.random())
+    def election_timeout_s(self, now_s: float, rng: random.Random) -> float:
+        """Return the time until the next candidacy, randomized to make split votes rare."""
+        recently_started = (
+            self.last_contact_s is None
+            and now_s - self.started_s < RESTART_PERIOD_TIMEOUTS * self.election_s
+        )
+        min_timeout_s = self.election_s * (RESTART_TIMEOUT_FACTOR if recently_started else 1.0)
+        return min_timeout_s * (1 + rng.random())
 
 
 @attrs.define
 class Ballot:
-    """The votes for one candidate in one trial or election.
+    """The votes for one candidate in one pre-vote or election.
 
     >>> members = messages.Members(tuple(messages.Member(name, "") for name in "abc"))
     >>> ballot = Ballot()
-    >>> ballot.add("a", firm=False), ballot.add("b", firm=True), ballot.is_won(members)
-    (None, None, False)
-    >>> ballot.add("c", firm=False), ballot.is_won(members)
-    (None, True)
+    >>> ballot.add("a", unconditional=False)
+    >>> ballot.add("b", unconditional=True)
+    >>> ballot.is_won(members)
+    False
+    >>> ballot.add("c", unconditional=False)
+    >>> ballot.is_won(members)
+    True
     """
 
-    _firm: set[str] = attrs.field(factory=set)
-    _if_all: set[str] = attrs.field(factory=set)
+    _unconditional: set[str] = attrs.field(factory=set)
+    _conditional: set[str] = attrs.field(factory=set)
 
-    def add(self, voter: str, *, firm: bool) -> None:
-        """Count a vote; one that is not ``firm`` counts only if all voters give theirs."""
-        (self._firm if firm else self._if_all).add(voter)
+    def add(self, voter: str, *, unconditional: bool) -> None:
+        """Add a vote; one that isn't ``unconditional`` counts only if all voters vote."""
+        (self._unconditional if unconditional else self._conditional).add(voter)
 
     def is_won(self, members: messages.Members) -> bool:
-        """Tell whether a quorum voted without a condition, or everyone voted."""
+        """Return whether a quorum voted unconditionally, or all voters voted."""
         voters = set(members.voters)
-        everyone = voters <= self._firm | self._if_all
-        return everyone or len(self._firm & voters) >= members.quorum
+        all_voted = voters <= self._unconditional | self._conditional
+        return all_voted or len(self._unconditional & voters) >= members.quorum
--- a/src/croftpulley/storage/__init__.py
+++ b/src/croftpulley/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state under the data folder."""
+"""Durable storage in the data folder."""
--- a/src/croftpulley/storage/commands.py
+++ b/src/croftpulley/storage/commands.py
@@ -1,6 +1,6 @@
-"""How commands of the agreed state are written as log records: JSON, with the command's name.
+"""Encodes state machine commands as log records: JSON objects tagged with the command's name.
 
-Long ones are packed (`packed_text`).
+Long records are compressed (`packed_text`).
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 def encode(command: agreed.Command) -> bytes:
-    """Return the record for a command."""
+    """Return a command's log record."""
     record = orjson.dumps(_converter().unstructure(command, agreed.Command))
     return packed_text.pack(record.decode()).encode()
 
 
 def decode(record: bytes) -> agreed.Command:
-    """Return the command in a record; raises `ValueError` for a record of no known command."""
+    """Return the command in a record; raises `ValueError` if it holds no known command."""
     try:
         document = orjson.loads(packed_text.unpack(record.decode()))
         command: agreed.Command = _converter().structure(document, _ANY_COMMAND)
--- a/src/croftpulley/storage/files.py
+++ b/src/croftpulley/storage/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that durable state needs, behind an interface that tests can break."""
+"""File operations for durable state, behind an interface that lets tests inject failures."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AppendFile(abc.ABC):
-    """A file that grows at its end."""
+    """An append-only file, which can also be truncated."""
 
     @abc.abstractmethod
     def append(self, data: bytes) -> None:
@@ -16,11 +16,11 @@
 
     @abc.abstractmethod
     def sync(self) -> None:
-        """Return once all that was written is on the disk; raises `OSError`."""
+        """Wait until all written data is on the disk; raises `OSError`."""
 
     @abc.abstractmethod
     def truncate(self, size_bytes: int) -> None:
-        """Cut the file to ``size_bytes``."""
+        """Truncate the file to ``size_bytes``."""
 
     @abc.abstractmethod
     def close(self) -> None:
@@ -28,22 +28,22 @@
 
 
 class DiskFile(AppendFile):
-    """A file on the machine's disk."""
+    """A file on the local disk; it is created if it doesn't exist."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         sync_folder(path.parent)
 
     def append(self, data: bytes) -> None:
-        """Write all of ``data``, also when the system takes it in pieces."""
+        """Write all of ``data`` at the end; raises `OSError`."""
         _write_all(self._descriptor, data)
 
     def sync(self) -> None:
-        """Wait for the disk."""
+        """Wait until all written data is on the disk; raises `OSError`."""
         os.fsync(self._descriptor)
 
     def truncate(self, size_bytes: int) -> None:
-        """Cut the file and wait for the disk."""
+        """Truncate the file and wait for the disk; raises `OSError`."""
         os.ftruncate(self._descriptor, size_bytes)
         os.fsync(self._descriptor)
 
@@ -53,7 +53,7 @@
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Make a new file's name itself durable."""
+    """Sync a folder, so that files created or renamed in it survive a crash."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -62,23 +62,23 @@
 
 
 def replace_file(path: pathlib.Path, data: bytes) -> None:
-    """Put ``data`` under ``path`` so that a crash leaves the old content or the new, whole.
+    """Replace the file's content atomically: after a crash it holds all of the old or the new.
 
     Raises `OSError`.
     """
-    draft = path.with_name(f"{path.name}.tmp")
-    descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    temporary = path.with_name(f"{path.name}.tmp")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         _write_all(descriptor, data)
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    os.replace(draft, path)
+    os.replace(temporary, path)
     sync_folder(path.parent)
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Write all of ``data``, also when the system takes it in pieces."""
+    """Write all of ``data``, with as many system calls as it takes."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
--- a/src/croftpulley/storage/record_log.py
+++ b/src/croftpulley/storage/record_log.py
@@ -1,8 +1,8 @@
-"""A file of records, each with its length and checksum.
+"""An append-only log file of records with length and checksum.
 
 Record: length of the payload (4 bytes, little endian), CRC-32 of length and payload (4 bytes),
-payload. A payload is a JSON object without white space before it. A record only half written at
-the end is cut off when the file is opened; damage before the end is refused.
+payload. A payload is a JSON object without leading white space. An incomplete record at the end
+is truncated when the file is opened; corruption before the end is an error.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Replay:
-    """What was found when the file was opened."""
+    """The payloads read when the log was opened, and how many bytes were truncated at its end."""
 
     payloads: tuple[bytes, ...]
     cut_bytes: int
 
 
 class RecordLog:
-    """Appends records and makes them durable; one writer at a time."""
+    """Appends records durably; not safe for concurrent writers."""
 
     def __init__(self, file: files.AppendFile, size_bytes: int) -> None:
         self._file = file
@@ -41,9 +41,10 @@
     def append(self, payloads: list[bytes]) -> None:
         """Write the records and sync once.
 
-        Raises `OSError` when the disk does not take them; nothing of them counts then, and the
-        log takes no more until it is opened anew, since what the disk holds is not known. Raises
-        `ValueError` for a payload that is no JSON object; nothing is written then.
+        Raises `OSError` if the write or sync fails. None of the records counts as written then,
+        and every later append fails until the log is reopened, since the disk's content is
+        unknown. Raises `ValueError`, before anything is written, for a payload that isn't a JSON
+        object.
         """
         if self._failed is not None:
             raise OSError("the log failed before") from self._failed
@@ -58,7 +59,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """How large the file is."""
+        """The size of the file."""
         return self._size_bytes
 
     def close(self) -> None:
@@ -70,42 +71,45 @@
     path: pathlib.Path,
     open_file: Callable[[pathlib.Path], files.AppendFile] = files.DiskFile,
     *,
-    one_record_a_sync: bool = False,
+    single_record_appends: bool = False,
 ) -> tuple[RecordLog, Replay]:
-    """Open or make the log at ``path`` and read all of it back.
+    """Open or create the log at ``path``, read its records and truncate an incomplete end.
 
-    With ``one_record_a_sync`` each append was a single record, so that only the last can be torn:
-    whatever a lost write left of it is cut, also a hole at its beginning.
+    ``single_record_appends`` says that each append wrote one record, so that only the last record
+    can be incomplete: whatever is left of it is truncated, even if its first bytes are missing.
 
-    Raises `errors.CroftpulleyError` (LOG_CORRUPT) for damage that is not a torn end.
+    Raises `errors.CroftpulleyError` (LOG_CORRUPT) for corruption other than an incomplete end.
     """
     data = path.read_bytes() if path.exists() else b""
-    payloads, whole_bytes = _read(path, data, one_record_a_sync)
+    payloads, valid_bytes = _read(path, data, single_record_appends)
     file = open_file(path)
-    if whole_bytes < len(data):
-        file.truncate(whole_bytes)
-    return RecordLog(file, whole_bytes), Replay(tuple(payloads), len(data) - whole_bytes)
+    if valid_bytes < len(data):
+        file.truncate(valid_bytes)
+    return RecordLog(file, valid_bytes), Replay(tuple(payloads), len(data) - valid_bytes)
 
 
 def size_bytes(payload: bytes) -> int:
-    """Return how much of a file the record of a payload takes."""
+    """Return the size of a payload's record in the file."""
     return _HEADER.size + len(payload)
 
 
 def _encode(payload: bytes) -> bytes:
     if not payload.startswith(_PAYLOAD_START):
-        raise ValueError(f"got a payload that is no JSON object: {payload[:80]!r}")
+        raise ValueError(f"payload is not a JSON object: {payload[:80]!r}")
     length = struct.pack("<I", len(payload))
     return _HEADER.pack(len(payload), zlib.crc32(length + payload)) + payload
 
 
-def _read(path: pathlib.Path, data: bytes, one_record_a_sync: bool) -> tuple[list[bytes], int]:
-    """Return the whole records and how many bytes they take."""
+def _read(path: pathlib.Path, data: bytes, single_record_appends: bool) -> tuple[list[bytes], int]:
+    """Return the payloads of the valid records, and the size of these records.
+
+    Raises `errors.CroftpulleyError` (LOG_CORRUPT).
+    """
     payloads = []
-    whole_bytes = 0
+    valid_bytes = 0
     for offset, end, payload in _records(data):
         if payload is None:
-            if _damaged_before_end(data, offset, len(data) if one_record_a_sync else end):
+            if _is_corrupt(data, offset, len(data) if single_record_appends else end):
                 raise errors.CroftpulleyError(
                     codes.ResultCode.LOG_CORRUPT,
                     f"{path}: the record at offset {offset} does not match its checksum and"
@@ -113,27 +117,30 @@
                 )
             break
         payloads.append(payload)
-        whole_bytes = end
-    return payloads, whole_bytes
+        valid_bytes = end
+    return payloads, valid_bytes
 
 
-def _damaged_before_end(data: bytes, offset: int, end: int) -> bool:
-    """Tell damage from a torn end: after a torn record nothing whole can follow.
+def _is_corrupt(data: bytes, offset: int, end: int) -> bool:
+    """Return whether an invalid record at ``offset`` is corruption and not an incomplete end.
 
-    A damaged length field can point past the end, so whole records are looked for after it too.
+    No valid record can follow an incomplete one. A corrupt length field can point past the end of
+    the file, so valid records are searched for after ``offset`` too.
     """
     if end < len(data):
         return True
-    return any(_whole_at(data, start) for start in _plausible_starts(data, offset + 1))
+    return any(_is_valid_record_at(data, start) for start in _candidate_offsets(data, offset + 1))
+
 
+def _candidate_offsets(data: bytes, offset: int) -> Iterator[int]:
+    """Yield the offsets from ``offset`` on at which a record may start.
 
-def _plausible_starts(data: bytes, offset: int) -> Iterator[int]:
-    """Yield from ``offset`` on where a record may begin: before the first byte of a payload, and
-    with a highest byte of the length that the file has room for.
+    There, the payload must start with its first byte and the highest byte of the length must be
+    possible for the file's size.
 
-    A restart is not held up by a large torn record: one of 6.4 MB of text is searched in 0.012 s
-    and a hole of 4.2 MB in 0.004 s, against 3.1 and 2.1 s with a look at each offset in Python
-    (one run of each on a processor of 2.5 GHz beside other work).
+    The search is a regular expression so that a large incomplete record doesn't delay a restart:
+    6.4 MB of text take 0.012 s and a hole of 4.2 MB takes 0.004 s, against 3.1 s and 2.1 s with a
+    check of each offset in Python (one run of each on a 2.5 GHz processor under other load).
     """
     highest = min(len(data) >> 24, 0xFF)
     first = re.escape(_PAYLOAD_START)
@@ -142,7 +149,7 @@
         yield match.start() - _HEADER.size
 
 
-def _whole_at(data: bytes, offset: int) -> bool:
+def _is_valid_record_at(data: bytes, offset: int) -> bool:
     length, checksum = _HEADER.unpack_from(data, offset)
     end = offset + _HEADER.size + length
     if length == 0 or end > len(data):
@@ -151,14 +158,17 @@
 
 
 def _checksum(data: bytes, offset: int, end: int) -> int:
-    """Return the checksum of the record from ``offset`` to ``end``, without a copy of it."""
+    """Return the checksum of the record from ``offset`` to ``end``, without copying it."""
     view = memoryview(data)
     of_length = zlib.crc32(view[offset : offset + 4])
     return zlib.crc32(view[offset + _HEADER.size : end], of_length)
 
 
 def _records(data: bytes) -> Iterator[tuple[int, int, bytes | None]]:
-    """Yield start, end and payload of each record; the payload is ``None`` if it is not whole."""
+    """Yield start, end and payload of each record.
+
+    The payload of an incomplete or corrupt record is ``None``; it is the last one yielded.
+    """
     offset = 0
     while offset < len(data):
         if offset + _HEADER.size > len(data):
--- a/src/croftpulley/storage/replica_store.py
+++ b/src/croftpulley/storage/replica_store.py
@@ -1,8 +1,8 @@
-"""What a replica keeps on its disk: its id, and one log file a generation.
+"""A replica's persistent state on disk: its id, and one log file per generation.
 
-A generation begins with a record of everything (`messages.Stored`) and goes on with a record for
-each `messages.Write`. A new generation is written beside the old one, synced and renamed before
-the old one is removed, so that a crash at any moment leaves a whole one.
+A generation starts with a record of the complete state (`messages.Stored`), followed by a record
+for each `messages.Write`. A new generation is written next to the old one, synced and renamed
+before the old one is removed, so that a crash at any time leaves a complete generation.
 """
 
 from __future__ import annotations
@@ -24,19 +24,22 @@
 _GENERATION = re.compile(r"log-(\d{8})")
 _CONVERTER = orjson_converter.make_converter()
 
-ADDED_LIMIT_BYTES = 8 * 1024 * 1024
-"""A generation to which this much was added is outgrown, however large it began.
+MAX_ADDED_BYTES = 8 * 1024 * 1024
+"""A generation is rewritten after this many bytes were added, however large its first record is.
 
-Just before the old generation is removed, a disk holds its beginning, what was added and the new
-one: with this limit and an entry as large as the state, a disk of 64 MB suffices for a state of
-18 MB.
+Just before the old generation is removed, the disk holds its first record, the added records and
+the new generation. With this limit and an entry as large as the state, a disk of 64 MB suffices
+for a state of 18 MB.
 """
 
 OpenFile = Callable[[pathlib.Path], files.AppendFile]
 
 
 def read_identity(folder: pathlib.Path) -> str:
-    """Return the id of the replica that owns the folder, empty for a new folder."""
+    """Return the id of the replica that owns the folder, empty for a new folder.
+
+    Raises `OSError`, and `errors.CroftpulleyError` (LOG_CORRUPT) for an unreadable id.
+    """
     path = folder / IDENTITY_FILE
     if not path.exists():
         return ""
@@ -44,20 +47,20 @@
         return str(orjson.loads(path.read_bytes())["replica"])
     except (ValueError, KeyError, TypeError) as failure:
         raise errors.CroftpulleyError(
-            codes.ResultCode.LOG_CORRUPT, f"{path}: holds no replica id: {failure}"
+            codes.ResultCode.LOG_CORRUPT, f"{path}: contains no replica id: {failure}"
         ) from failure
 
 
 def write_identity(folder: pathlib.Path, replica: str) -> None:
-    """Make the id durable; raises `OSError`."""
+    """Store the id durably; raises `OSError`."""
     files.replace_file(folder / IDENTITY_FILE, orjson.dumps({"replica": replica}))
 
 
 class ReplicaStore:
-    """The log files of one replica; one writer at a time.
+    """The log files of one replica; not safe for concurrent writers.
 
-    Every method but `load` raises `OSError` when the disk refuses. The store must then be loaded
-    anew before it is written again, since what the disk holds is not known.
+    `write` and `rewrite` raise `OSError` if the disk fails. The store must then be loaded again
+    before the next write, since the disk's content is unknown.
     """
 
     def __init__(self, folder: pathlib.Path, open_file: OpenFile = files.DiskFile) -> None:
@@ -65,71 +68,71 @@
         self._open_file = open_file
         self._log: record_log.RecordLog | None = None
         self._generation = 0
-        self._base_bytes = 0
+        self._initial_bytes = 0
 
-    def load(self, fresh: messages.Stored) -> messages.Stored:
-        """Open the newest whole generation and return what it holds, ``fresh`` if there is none.
+    def load(self, initial: messages.Stored) -> messages.Stored:
+        """Open the newest complete generation and return the state in it.
 
-        Raises `OSError`, and `errors.CroftpulleyError` (LOG_CORRUPT) for damage before a file's
-        end.
+        If there is none, start one with ``initial`` and return that. Raises `OSError`, and
+        `errors.CroftpulleyError` (LOG_CORRUPT) for corruption before a file's end.
         """
         self.close()
         for generation in sorted(self._generations(), reverse=True):
             log, replay = record_log.open_log(
-                self._path(generation), self._open_file, one_record_a_sync=True
+                self._path(generation), self._open_file, single_record_appends=True
             )
             if replay.payloads:
                 self._log = log
                 self._generation = generation
-                self._base_bytes = record_log.size_bytes(replay.payloads[0])
-                return _replayed(replay.payloads)
+                self._initial_bytes = record_log.size_bytes(replay.payloads[0])
+                return _replay(replay.payloads)
             log.close()
-        self.rewrite(fresh)
-        return fresh
+        self.rewrite(initial)
+        return initial
 
     def write(self, write: messages.Write) -> None:
-        """Add a write and wait for the disk."""
+        """Append a write and sync; raises `OSError`."""
         if self._log is None:
             raise OSError("the store is not loaded")
         self._log.append([orjson.dumps(_CONVERTER.unstructure(write))])
 
     def rewrite(self, stored: messages.Stored) -> None:
-        """Begin a new generation that holds just ``stored``."""
+        """Start a new generation with ``stored`` and remove older ones; raises `OSError`."""
         generation = self._generation + 1
-        draft = self._folder / "draft"
-        draft.unlink(missing_ok=True)
-        log, _ = record_log.open_log(draft, self._open_file)
+        temporary = self._folder / "draft"
+        temporary.unlink(missing_ok=True)
+        log, _ = record_log.open_log(temporary, self._open_file)
         try:
             log.append([orjson.dumps(_CONVERTER.unstructure(stored))])
         except OSError:
             log.close()
             raise
-        draft.rename(self._path(generation))
+        temporary.rename(self._path(generation))
         files.sync_folder(self._folder)
         self.close()
         self._log = log
         self._generation = generation
-        self._base_bytes = log.size_bytes
+        self._initial_bytes = log.size_bytes
         self._remove_before(generation)
 
     @property
     def size_bytes(self) -> int:
-        """How large the present generation is."""
+        """The size of the current generation, 0 if none is open."""
         return self._log.size_bytes if self._log is not None else 0
 
     @property
     def added_bytes(self) -> int:
-        """How much was added since the present generation was begun."""
-        return self.size_bytes - self._base_bytes if self._log is not None else 0
+        """The size of what was added to the current generation after its first record."""
+        return self.size_bytes - self._initial_bytes if self._log is not None else 0
 
-    def has_outgrown(self, least_bytes: int) -> bool:
-        """Tell whether the present generation should be written anew.
+    def has_outgrown(self, min_bytes: int) -> bool:
+        """Return whether the current generation should be rewritten.
 
-        That is when as much was added as it began with, so that writing it anew costs no more
-        than what was added did; but not before ``least_bytes``, and at `ADDED_LIMIT_BYTES` in any
-        case.
+        That is once as much was added as its first record takes, so that a rewrite costs no more
+        than the writes since the last one; but not before ``min_bytes`` were added, and always
+        from `MAX_ADDED_BYTES` on.
         """
-        return self.added_bytes >= min(max(least_bytes, self._base_bytes), ADDED_LIMIT_BYTES)
+        return self.added_bytes >= min(max(min_bytes, self._initial_bytes), MAX_ADDED_BYTES)
 
     def close(self) -> None:
         """Close the file."""
@@ -145,14 +148,14 @@
         return [int(match[1]) for match in matches if match]
 
     def _remove_before(self, generation: int) -> None:
-        # Should a removal not last, the file is older than the one that counts.
+        # The folder isn't synced: if a removal is lost in a crash, the newer generation is loaded.
         for each in self._generations():
             if each < generation:
                 self._path(each).unlink(missing_ok=True)
 
 
-def _replayed(payloads: tuple[bytes, ...]) -> messages.Stored:
-    """Put the first record and the writes after it together."""
+def _replay(payloads: tuple[bytes, ...]) -> messages.Stored:
+    """Apply the writes after the first record to it, and return the resulting state."""
     stored: messages.Stored = _structure(payloads[0], messages.Stored)
     term = stored.term
     voted_for = stored.voted_for
@@ -171,5 +174,5 @@
         return _CONVERTER.structure(orjson.loads(payload), kind)
     except (ValueError, KeyError, cattrs.BaseValidationError) as failure:
         raise errors.CroftpulleyError(
-            codes.ResultCode.LOG_CORRUPT, f"a whole record holds no {kind.__name__}: {failure}"
+            codes.ResultCode.LOG_CORRUPT, f"a valid record holds no {kind.__name__}: {failure}"
         ) from failure
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -1,4 +1,4 @@
-"""The agreed state as text, for snapshots: JSON, packed if it is long (`packed_text`)."""
+"""Encodes the state machine for snapshots: JSON, compressed if it is long (`packed_text`)."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def encode(state: agreed.AgreedState) -> str:
-    """Return the text that stands for a state."""
+    """Return the encoded state, as `restore` reads it."""
     document = _Document(
         register=_CONVERTER.unstructure(state.submissions, _REGISTERS),
         claims=tuple(
@@ -63,17 +63,18 @@
 
 
 def restore(text: str, state: agreed.AgreedState) -> None:
-    """Make ``state`` what the text says; an empty text stands for a fleet that has yet to begin.
+    """Replace the content of ``state`` by the encoded state in ``text``.
 
-    Raises `ValueError` for a text that holds no state.
+    An empty text is the state before the first command. Raises `ValueError` for a text that holds
+    no state.
     """
     if not text:
-        # The log is applied from its first entry next, also on a box that has applied some of it.
+        # The log is applied from its first entry next, even on a box that has applied some of it.
         state.clear()
         return
     try:
         document = _CONVERTER.structure(orjson.loads(packed_text.unpack(text)), _Document)
-        register = _CONVERTER.structure(_upgraded(document.register), _REGISTERS)
+        register = _CONVERTER.structure(_upgrade_register(document.register), _REGISTERS)
     except (KeyError, cattrs.BaseValidationError) as failure:
         raise ValueError(f"got a snapshot that holds no state: {failure}") from failure
     state.submissions = register
@@ -87,8 +88,11 @@
     state.pool_versions = document.pool_versions
 
 
-def _upgraded(register: dict[str, Any]) -> dict[str, Any]:
-    """Return a register in today's form: once it held the document and its version side by side."""
+def _upgrade_register(register: dict[str, Any]) -> dict[str, Any]:
+    """Return a register in the current format.
+
+    An older format had the document and its version as two separate fields of the register.
+    """
     if "held" in register:
         return register
     names = ("version", "document_json")
--- a/testing/core/replication/cluster.py
+++ b/testing/core/replication/cluster.py
@@ -1,5 +1,7 @@
-"""Replicas under a seeded scheduler: messages are dropped, delayed, doubled and reordered, and
-replicas are paused, crash before or after a sync, lose their disks and come back.
+"""A deterministic simulation of a cluster of replicas, seeded at random.
+
+Messages are dropped, delayed, duplicated and reordered; replicas pause, crash before or after a
+sync, lose their disks and restart.
 """
 
 from __future__ import annotations
@@ -15,14 +17,14 @@
 
 TICK_S = 0.05
 COMPACT_AFTER_ENTRIES = 8
-ANSWER_LIMIT_S = 0.4
-"""A request that is not over by then has failed, as on the daemons' links."""
+REQUEST_TIMEOUT_S = 0.4
+"""The request timeout, as on the daemons' links."""
 ADDRESSES = ("a:1", "b:1", "c:1")
 
 
 @attrs.define
 class Machine:
-    """A replica with its disk; ``alive`` is false while it is down or paused."""
+    """A replica and its disk; ``alive`` is false while it is down or paused."""
 
     address: str
     disk: messages.Stored
@@ -34,8 +36,8 @@
 
 
 @attrs.define
-class InFlight:
-    """A message on its way."""
+class InFlightMessage:
+    """A message in flight, due at ``at_s``."""
 
     at_s: float
     source: str
@@ -45,8 +47,8 @@
 
 
 @attrs.define
-class Failed:
-    """A request that its sender gives up."""
+class FailedRequest:
+    """A request that times out at its sender at ``at_s``."""
 
     at_s: float
     source: Machine
@@ -54,11 +56,12 @@
 
 
 class Cluster:
-    """Voters, three unless said otherwise, and whatever joins; every step checks that committed
-    logs agree.
+    """A cluster of voters, three by default, and of replicas that join it.
+
+    Each step checks that committed logs agree and that at most one replica holds a leader lease.
 
-    With ``link_bytes_per_s`` requests leave a machine over one link of that rate, which those that
-    are sent together share; a request that takes longer than `ANSWER_LIMIT_S` is broken off.
+    With ``link_bytes_per_s``, requests leave a machine over one link of that rate, which requests
+    sent together share; a request that takes longer than `REQUEST_TIMEOUT_S` fails.
     """
 
     def __init__(
@@ -70,15 +73,15 @@
         addresses: tuple[str, ...] = ADDRESSES,
         link_bytes_per_s: float = math.inf,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now_s = 0.0
         self.loss = loss
         self.delay_s = delay_s
         self.tick_s = tick_s
         self.link_bytes_per_s = link_bytes_per_s
-        self.failures: list[Failed] = []
-        self.cut: set[frozenset[str]] = set()
-        self.network: list[InFlight] = []
+        self.failures: list[FailedRequest] = []
+        self.cut_links: set[frozenset[str]] = set()
+        self.network: list[InFlightMessage] = []
         self.timing = state.Timing()
         members = messages.Members(
             tuple(messages.Member(f"{address}#0", address) for address in addresses)
@@ -86,37 +89,37 @@
         self.machines: dict[str, Machine] = {}
         for address in addresses:
             stored = messages.Stored(snapshot=messages.Snapshot(members=members))
-            self.start(address, f"{address}#0", stored)
+            self.start_machine(address, f"{address}#0", stored)
         self.committed: dict[int, messages.Entry] = {}
         self.acknowledged: list[str] = []
         self.waiting: dict[tuple[int, int], str] = {}
         self.authorities: list[tuple[str, int, float]] = []
 
-    def start(self, address: str, name: str, stored: messages.Stored) -> None:
+    def start_machine(self, address: str, name: str, stored: messages.Stored) -> None:
         running = replica.Replica(
-            name, stored, self.timing, random.Random(self.chance.random()), self.now_s
+            name, stored, self.timing, random.Random(self.rng.random()), self.now_s
         )
         self.machines[address] = Machine(address, stored, running)
         self.machines[address].applied = _commands(stored.snapshot.state)
 
     def crash(self, address: str) -> None:
-        """Take a machine down; what was synced stays."""
+        """Stop a machine; its synced data is kept."""
         self.machines[address].alive = False
 
-    def restart(self, address: str, *, wiped: bool = False) -> None:
-        """Bring a machine back, with its disk or with a new id on an empty one."""
+    def restart(self, address: str, *, disk_lost: bool = False) -> None:
+        """Restart a machine, with its disk or, if that is lost, with a new id and an empty disk."""
         machine = self.machines[address]
         restarts = machine.restarts + 1
         name = machine.running.id
         stored = machine.disk
-        if wiped:
+        if disk_lost:
             name = f"{address}#{restarts}"
             stored = messages.Stored()
-        self.start(address, name, copy.deepcopy(stored))
+        self.start_machine(address, name, copy.deepcopy(stored))
         self.machines[address].restarts = restarts
 
     def leaders(self) -> list[Machine]:
-        """Return the machines that may act as leader at this moment."""
+        """Return the machines that hold a leader lease now."""
         return [
             each
             for each in self.machines.values()
@@ -124,47 +127,47 @@
         ]
 
     def propose(self, command: str) -> bool:
-        """Propose at a leader, if there is one."""
+        """Propose a command at a leader; return whether there is one."""
         for machine in self.leaders():
             effects, (index,) = machine.running.propose([command], self.now_s)
             self.waiting[(index, machine.running.term)] = command
-            self.carry_out(machine, effects)
+            self.execute(machine, effects)
             return True
         return False
 
     def run(self, seconds_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulation by ``seconds_s``."""
         ends_at_s = self.now_s + seconds_s
         while self.now_s < ends_at_s:
             self.step()
 
     def step(self) -> None:
-        """Deliver what is due, tick everyone and check."""
+        """Deliver due messages, tick each running replica and check the leaders."""
         self.now_s += self.tick_s
         due = [each for each in self.network if each.at_s <= self.now_s]
         self.network = [each for each in self.network if each.at_s > self.now_s]
-        self.chance.shuffle(due)
+        self.rng.shuffle(due)
         for message in due:
             self.deliver(message)
         self.fail_requests()
         for machine in list(self.machines.values()):
             if machine.alive:
-                self.carry_out(machine, machine.running.tick(self.now_s))
-                self.join(machine)
+                self.execute(machine, machine.running.tick(self.now_s))
+                self.request_join(machine)
         self.check_leaders()
 
-    def join(self, machine: Machine) -> None:
-        """Ask to be taken in, as a replica that is in no set does."""
+    def request_join(self, machine: Machine) -> None:
+        """Ask the leaders to be added as a member, if the replica isn't one."""
         if not machine.running.must_join:
             return
         request = messages.JoinRequest(replica=machine.running.id, address=machine.address)
         for other in self.leaders():
-            if frozenset((machine.address, other.address)) not in self.cut:
+            if frozenset((machine.address, other.address)) not in self.cut_links:
                 effects, _ = other.running.admit(request, self.now_s)
-                self.carry_out(other, effects)
+                self.execute(other, effects)
 
-    def carry_out(self, machine: Machine, effects: state.Effects) -> None:
-        """Write, then send and apply, as the driver does."""
+    def execute(self, machine: Machine, effects: state.Effects) -> None:
+        """Execute effects as the driver does: write, then send and apply."""
         if effects.write is not None:
             machine.disk = machine.running.stored()
         if math.isinf(self.link_bytes_per_s):
@@ -175,22 +178,22 @@
         self.apply(machine)
 
     def send_over_link(self, machine: Machine, requests: list[messages.Request]) -> None:
-        """Have requests share the link, as connections do: none is over before all nearly are."""
+        """Send requests that share the link, as connections do: all finish at nearly one time."""
         sizes_bytes = [len(json_codec.encode(each, replica_codec.REQUEST)) for each in requests]
         begins_at_s = max(self.now_s, machine.link_free_at_s)
         over_at_s = begins_at_s + sum(sizes_bytes) / self.link_bytes_per_s
-        gives_up_at_s = self.now_s + ANSWER_LIMIT_S
+        gives_up_at_s = self.now_s + REQUEST_TIMEOUT_S
         machine.link_free_at_s = min(over_at_s, gives_up_at_s)
         for request in requests:
             if over_at_s > gives_up_at_s:
-                self.failures.append(Failed(gives_up_at_s, machine, request.to))
+                self.failures.append(FailedRequest(gives_up_at_s, machine, request.to))
                 continue
             target = self.address_of(machine, request.to)
             at_s = over_at_s + self.delay_s
-            self.network.append(InFlight(at_s, machine.address, target, self.now_s, request))
+            self.network.append(InFlightMessage(at_s, machine.address, target, self.now_s, request))
 
     def fail_requests(self) -> None:
-        """Tell the senders of requests that were broken off."""
+        """Report requests that timed out to their senders."""
         due = [each for each in self.failures if each.at_s <= self.now_s]
         self.failures = [each for each in self.failures if each.at_s > self.now_s]
         for each in due:
@@ -204,42 +207,44 @@
     def send(
         self, machine: Machine, target: str, body: messages.Request | messages.Reply, sent_s=None
     ) -> None:
-        copies = 2 if self.chance.random() < self.loss / 2 else 1
+        copies = 2 if self.rng.random() < self.loss / 2 else 1
         for _ in range(copies):
-            if self.chance.random() < self.loss:
+            if self.rng.random() < self.loss:
                 continue
-            delay_s = self.delay_s * (0.5 + self.chance.random())
-            if self.chance.random() < self.loss:
+            delay_s = self.delay_s * (0.5 + self.rng.random())
+            if self.rng.random() < self.loss:
                 delay_s *= 20
             sent = self.now_s if sent_s is None else sent_s
-            self.network.append(InFlight(self.now_s + delay_s, machine.address, target, sent, body))
+            self.network.append(
+                InFlightMessage(self.now_s + delay_s, machine.address, target, sent, body)
+            )
 
-    def deliver(self, message: InFlight) -> None:
+    def deliver(self, message: InFlightMessage) -> None:
         target = self.machines.get(message.target)
-        linked = frozenset((message.source, message.target)) not in self.cut
+        linked = frozenset((message.source, message.target)) not in self.cut_links
         if target is None or not target.alive or not linked:
             return
         if isinstance(message.body, messages.Reply):
             effects = target.running.reply(message.body, message.sent_s, self.now_s)
-            self.carry_out(target, effects)
+            self.execute(target, effects)
             return
         effects = target.running.receive(message.body, self.now_s)
-        if effects.write is not None and self.chance.random() < self.loss / 4:
-            # A crash before the sync: neither the write nor the answer happened.
+        if effects.write is not None and self.rng.random() < self.loss / 4:
+            # A crash before the sync: neither the write nor the reply took place.
             self.crash(target.address)
             return
-        self.carry_out(target, effects)
+        self.execute(target, effects)
         if effects.reply is not None:
             self.send(target, message.source, effects.reply, message.sent_s)
 
     def apply(self, machine: Machine) -> None:
-        """Apply commits and check that every replica commits the same entries."""
+        """Apply committed entries and check that every replica commits the same ones."""
         installed = machine.running.take_installed()
         if installed is not None:
             machine.applied = _commands(installed.state)
         for index, entry in machine.running.take_committed():
-            known = self.committed.setdefault(index, entry)
-            assert known == entry, f"entry {index}: got {entry}, expected {known}"
+            expected = self.committed.setdefault(index, entry)
+            assert expected == entry, f"entry {index}: got {entry}, expected {expected}"
             if entry.kind is messages.EntryKind.COMMAND:
                 machine.applied.append(entry.payload)
             command = self.waiting.pop((index, entry.term), None)
@@ -250,7 +255,7 @@
             machine.disk = machine.running.stored()
 
     def check_leaders(self) -> None:
-        """At no moment do two replicas believe that they alone may act."""
+        """Check that at most one replica holds a leader lease."""
         names = [each.running.id for each in self.leaders()]
         assert len(names) <= 1, f"got leaders {names}, expected at most one"
 
--- a/testing/core/replication/test_voting.py
+++ b/testing/core/replication/test_voting.py
@@ -22,20 +22,20 @@
     )
 
 
-def candidacy(made, now_s):
-    """Tick until the replica asks for real votes."""
-    made.tick(now_s)
-    made.reply(
-        messages.VoteReply(voter="b", term=made.term, granted=True, trial=True), now_s, now_s
+def start_election(node, now_s):
+    """Win the pre-vote, so that the replica starts an election."""
+    node.tick(now_s)
+    node.reply(
+        messages.VoteReply(voter="b", term=node.term, granted=True, trial=True), now_s, now_s
     )
-    made.reply(
-        messages.VoteReply(voter="c", term=made.term, granted=True, trial=True), now_s, now_s
+    node.reply(
+        messages.VoteReply(voter="c", term=node.term, granted=True, trial=True), now_s, now_s
     )
-    assert made.role is state.Role.CANDIDATE
+    assert node.role is state.Role.CANDIDATE
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_after_all_have_restarted_a_leader_stands_before_an_election_timeout(seed):
+def test_a_leader_is_elected_within_an_election_timeout_after_all_replicas_restart(seed):
     cluster = clusters.Cluster(seed, delay_s=0.005, tick_s=0.01)
     cluster.run(4.0)
     cluster.propose("kept")
@@ -55,66 +55,66 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_quick_elections_never_give_two_leaders(seed):
-    """Each step of the scheduler checks that at most one may act; restarts come in any mix."""
+def test_elections_after_frequent_restarts_never_give_two_leaders(seed):
+    """Each step of the simulation checks that at most one replica holds a leader lease."""
     cluster = clusters.Cluster(seed, loss=0.1, delay_s=0.01, tick_s=0.01)
     cluster.run(4.0)
     for _ in range(60):
         for address in clusters.ADDRESSES:
-            if cluster.chance.random() < 0.5:
+            if cluster.rng.random() < 0.5:
                 cluster.restart(address)
-        cluster.cut.clear()
-        if cluster.chance.random() < 0.4:
-            one, other = cluster.chance.sample(clusters.ADDRESSES, 2)
-            cluster.cut = {frozenset((one, other))}
-        cluster.run(cluster.chance.random())
+        cluster.cut_links.clear()
+        if cluster.rng.random() < 0.4:
+            one, other = cluster.rng.sample(clusters.ADDRESSES, 2)
+            cluster.cut_links = {frozenset((one, other))}
+        cluster.run(cluster.rng.random())
 
 
-def test_a_fresh_voter_that_heard_no_leader_votes_only_if_all_do():
-    made = make_replica(now_s=5.0)
-    reply = made.receive(vote_request(), 5.1).reply
+def test_a_restarted_voter_without_leader_contact_votes_conditionally():
+    node = make_replica(now_s=5.0)
+    reply = node.receive(vote_request(), 5.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, True)
 
 
-def test_a_fresh_voter_that_heard_a_leader_gives_no_vote_at_all():
-    made = make_replica(now_s=5.0)
+def test_a_restarted_voter_with_leader_contact_gives_no_vote():
+    node = make_replica(now_s=5.0)
     heartbeat = messages.AppendRequest(
         to="a", term=3, leader="c", previous_index=0, previous_term=0, entries=(), commit_index=0
     )
-    made.receive(heartbeat, 5.05)
-    reply = made.receive(vote_request(), 5.1).reply
+    node.receive(heartbeat, 5.05)
+    reply = node.receive(vote_request(), 5.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, False)
 
 
-def test_a_leader_agrees_to_no_other():
-    made = make_replica()
-    candidacy(made, 3.0)
-    granted = messages.VoteReply(voter="b", term=made.term, granted=True, trial=False)
-    made.reply(granted, 3.0, 3.0)
-    assert made.role is state.Role.LEADER
-    reply = made.receive(vote_request(), 3.1).reply
+def test_a_leader_votes_for_no_other_replica():
+    node = make_replica()
+    start_election(node, 3.0)
+    granted = messages.VoteReply(voter="b", term=node.term, granted=True, trial=False)
+    node.reply(granted, 3.0, 3.0)
+    assert node.role is state.Role.LEADER
+    reply = node.receive(vote_request(), 3.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, False)
 
 
-def test_votes_on_a_condition_elect_nobody_while_one_voter_is_silent():
+def test_conditional_votes_elect_a_leader_only_if_all_voters_vote():
     ballot = voting.Ballot()
-    ballot.add("a", firm=False)
-    ballot.add("b", firm=False)
+    ballot.add("a", unconditional=False)
+    ballot.add("b", unconditional=False)
     assert not ballot.is_won(MEMBERS)
-    ballot.add("c", firm=False)
+    ballot.add("c", unconditional=False)
     assert ballot.is_won(MEMBERS)
 
 
-def test_a_vote_for_an_earlier_candidacy_counts_for_no_later_one():
-    # Two leaders of one term could come of it.
-    made = make_replica()
-    candidacy(made, 3.0)
-    first_term = made.term
-    candidacy(made, 6.0)
+def test_a_vote_from_an_earlier_election_does_not_count_in_a_later_one():
+    # Otherwise one term could have two leaders.
+    node = make_replica()
+    start_election(node, 3.0)
+    first_term = node.term
+    start_election(node, 6.0)
     late = messages.VoteReply(voter="b", term=first_term, granted=True, trial=False)
-    made.reply(late, 3.0, 6.0)
-    assert made.term == first_term + 1
-    assert made.role is state.Role.CANDIDATE
+    node.reply(late, 3.0, 6.0)
+    assert node.term == first_term + 1
+    assert node.role is state.Role.CANDIDATE
--- a/testing/model/authority.py
+++ b/testing/model/authority.py
@@ -1,8 +1,9 @@
-"""Who may act as leader, in a model without clocks: three voters that restart at any moment.
+"""A model of leader leases without clocks: three voters that may restart at any time.
 
-Time is modelled by what it orders: a voter's promise to its leader, or its wait after a start, ends
-only after the leader has stopped to count on that voter (it counts from the sending, and less than
-an election timeout). Votes are counted by the real `voting.Ballot`. Logs are all alike.
+Time is modelled by the order that it imposes. A voter's wait after contact with a leader, or after
+a start, ends only after the leader has stopped to rely on that voter, since the leader lease runs
+from the sending of the request and is shorter than an election timeout. Votes are counted by the
+real `voting.Ballot`. All logs are equal.
 """
 
 from __future__ import annotations
@@ -18,150 +19,158 @@
 MEMBERS = messages.Members(tuple(messages.Member(str(node), "") for node in NODES))
 
 
-class Hearing(enum.Enum):
-    """What a voter may have promised."""
+class LeaderContact(enum.Enum):
+    """A voter's last contact with a leader, which decides whether it may vote."""
 
-    FRESH = "fresh"
-    """It has just started and has heard no leader since."""
-    HEARD = "heard"
-    """It follows a leader that may count on it."""
-    FREE = "free"
+    RESTARTED = "restarted"
+    """It has just started and has had no contact with a leader since."""
+    FOLLOWING = "following"
+    """It follows a leader whose lease may rely on it."""
+    EXPIRED = "expired"
 
 
 class Mutation(enum.Enum):
-    """Faults put into the rules, to see that the check finds them."""
+    """Faults injected into the rules; the check must find each of them."""
 
     NONE = "none"
-    FRESH_IS_FREE = "a fresh voter votes without a condition"
-    LEADER_AGREES = "a leader that votes for another goes on as leader"
-    FORGETS_VOTE = "a vote is forgotten over a restart"
-    ANY_TERM = "a vote counts for any later candidacy"
+    RESTARTED_VOTES_UNCONDITIONALLY = "a restarted voter votes unconditionally"
+    LEADER_VOTES_FOR_OTHER = "a leader that votes for another stays leader"
+    FORGETS_VOTE = "a vote is lost in a restart"
+    VOTE_COUNTS_FOR_LATER_TERM = "a vote counts for any later term"
 
 
 @attrs.frozen(cache_hash=True)
 class Node:
-    """One voter; ``counted`` are the voters that a leader counts on."""
+    """One voter.
+
+    ``unconditional`` and ``if_all`` are the votes for it as a candidate; ``acknowledged_by`` are
+    the voters that its lease as a leader relies on.
+    """
 
     term: int = 0
     voted_for: int | None = None
-    leads: bool = False
+    is_leader: bool = False
     is_candidate: bool = False
-    hearing: Hearing = Hearing.FREE
-    firm: frozenset[int] = frozenset()
+    leader_contact: LeaderContact = LeaderContact.EXPIRED
+    unconditional: frozenset[int] = frozenset()
     if_all: frozenset[int] = frozenset()
-    counted: frozenset[int] = frozenset()
+    acknowledged_by: frozenset[int] = frozenset()
 
 
 @attrs.frozen(cache_hash=True)
 class State:
-    """All voters, and the answers on their way, which may be lost or come late.
+    """All voters, and the replies in flight, which may be lost or late.
 
-    A request is heard whenever its candidate or leader still stands by it; one that comes later
-    is refused or changes nothing that another could not.
+    A request may arrive as long as its sender is still candidate or leader of that term. A later
+    request isn't modelled: it is refused or changes nothing that another request couldn't.
     """
 
     nodes: tuple[Node, ...] = (Node(), Node(), Node())
     replies: frozenset[tuple[int, int, int, bool]] = frozenset()
-    """Voter, candidate, term, without a condition."""
+    """Votes: voter, candidate, term, and whether the vote is unconditional."""
     acks: frozenset[tuple[int, int, int]] = frozenset()
-    """Follower, leader, term."""
+    """Acknowledged append requests: follower, leader, term."""
     restarts: int = 0
 
 
 @attrs.frozen
 class Model:
-    """The steps, within bounds that keep the number of states small."""
+    """The steps between states; the maxima keep the number of states small."""
 
-    most_terms: int
-    most_restarts: int
+    max_terms: int
+    max_restarts: int
     mutation: Mutation = Mutation.NONE
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Yield every next state with the name of the step."""
+        """Yield the name of each possible step and the state that it leads to."""
         for node in NODES:
-            yield from self._alone(state, node)
+            yield from self._local_steps(state, node)
         for reply in state.replies:
-            yield self._count(state, *reply)
+            yield self._count_vote(state, *reply)
         for ack in state.acks:
             yield self._acknowledge(state, *ack)
         for leader in NODES:
             for other in NODES:
-                if state.nodes[leader].leads and other != leader:
+                if state.nodes[leader].is_leader and other != leader:
                     yield from self._append(state, leader, other)
                 if state.nodes[leader].is_candidate and other != leader:
                     yield self._vote(state, leader, other, state.nodes[leader].term)
 
-    def _alone(self, state: State, node: int) -> Iterator[tuple[str, State]]:
+    def _local_steps(self, state: State, node: int) -> Iterator[tuple[str, State]]:
         here = state.nodes[node]
-        if state.restarts < self.most_restarts:
+        if state.restarts < self.max_restarts:
             yield f"restart {node}", self._restart(state, node)
-        if here.hearing is not Hearing.FREE:
-            yield f"wait over {node}", _waited(state, node)
-        if not here.leads and here.term < self.most_terms:
-            yield f"candidacy {node}", self._stand(state, node)
+        if here.leader_contact is not LeaderContact.EXPIRED:
+            yield f"wait over {node}", _expire_leader_contact(state, node)
+        if not here.is_leader and here.term < self.max_terms:
+            yield f"candidacy {node}", self._start_candidacy(state, node)
 
     def _restart(self, state: State, node: int) -> State:
         here = state.nodes[node]
         voted_for = None if self.mutation is Mutation.FORGETS_VOTE else here.voted_for
-        fresh = Node(term=here.term, voted_for=voted_for, hearing=Hearing.FRESH)
-        return attrs.evolve(_put(state, node, fresh), restarts=state.restarts + 1)
+        fresh = Node(term=here.term, voted_for=voted_for, leader_contact=LeaderContact.RESTARTED)
+        return attrs.evolve(_replace_node(state, node, fresh), restarts=state.restarts + 1)
 
-    def _stand(self, state: State, node: int) -> State:
+    def _start_candidacy(self, state: State, node: int) -> State:
         here = state.nodes[node]
         term = here.term + 1
         own = frozenset({node})
-        firm = self._is_firm(here)
-        return _with(
+        unconditional = self._votes_unconditionally(here)
+        return _update_node(
             state,
             node,
             term=term,
             voted_for=node,
             is_candidate=True,
-            firm=own if firm else frozenset(),
-            if_all=frozenset() if firm else own,
+            unconditional=own if unconditional else frozenset(),
+            if_all=frozenset() if unconditional else own,
         )
 
-    def _is_firm(self, voter: Node) -> bool:
-        fresh_is_free = self.mutation is Mutation.FRESH_IS_FREE
-        return voter.hearing is Hearing.FREE or (fresh_is_free and voter.hearing is Hearing.FRESH)
+    def _votes_unconditionally(self, voter: Node) -> bool:
+        restarted_is_unconditional = self.mutation is Mutation.RESTARTED_VOTES_UNCONDITIONALLY
+        return voter.leader_contact is LeaderContact.EXPIRED or (
+            restarted_is_unconditional and voter.leader_contact is LeaderContact.RESTARTED
+        )
 
     def _vote(self, state: State, candidate: int, voter: int, term: int) -> tuple[str, State]:
-        """As `Replica._on_vote_request`."""
+        """Model `electing.Elector.on_request`."""
         name = f"request {candidate}>{voter} of term {term}"
         here = state.nodes[voter]
-        leads = here.leads and self.mutation is not Mutation.LEADER_AGREES
-        agrees = not leads and term >= here.term
-        agrees = agrees and (term > here.term or here.voted_for in (None, candidate))
-        firm = self._is_firm(here)
-        if not agrees or not (firm or here.hearing is Hearing.FRESH):
+        refuses_as_leader = here.is_leader and self.mutation is not Mutation.LEADER_VOTES_FOR_OTHER
+        is_allowed = not refuses_as_leader and term >= here.term
+        is_allowed = is_allowed and (term > here.term or here.voted_for in (None, candidate))
+        unconditional = self._votes_unconditionally(here)
+        if not is_allowed or not (unconditional or here.leader_contact is LeaderContact.RESTARTED):
             return name, state
-        changed = _with(state, voter, term=term, voted_for=candidate, is_candidate=False)
-        reply = (voter, candidate, term, firm)
+        changed = _update_node(state, voter, term=term, voted_for=candidate, is_candidate=False)
+        reply = (voter, candidate, term, unconditional)
         return name, attrs.evolve(changed, replies=changed.replies | {reply})
 
-    def _count(
-        self, state: State, voter: int, candidate: int, term: int, firm: bool
+    def _count_vote(
+        self, state: State, voter: int, candidate: int, term: int, unconditional: bool
     ) -> tuple[str, State]:
-        """As `Replica._on_vote_reply`."""
+        """Model `electing.Elector.on_reply`."""
         name = f"vote {voter}>{candidate} of term {term}"
-        left = attrs.evolve(state, replies=state.replies - {(voter, candidate, term, firm)})
+        left = attrs.evolve(
+            state, replies=state.replies - {(voter, candidate, term, unconditional)}
+        )
         here = state.nodes[candidate]
-        current = term == here.term or self.mutation is Mutation.ANY_TERM
+        current = term == here.term or self.mutation is Mutation.VOTE_COUNTS_FOR_LATER_TERM
         if not here.is_candidate or not current:
             return name, left
-        votes = "firm" if firm else "if_all"
-        changed = _with(left, candidate, **{votes: getattr(here, votes) | {voter}})
+        votes = "unconditional" if unconditional else "if_all"
+        changed = _update_node(left, candidate, **{votes: getattr(here, votes) | {voter}})
         here = changed.nodes[candidate]
-        ballot = voting.Ballot({str(n) for n in here.firm}, {str(n) for n in here.if_all})
+        ballot = voting.Ballot({str(n) for n in here.unconditional}, {str(n) for n in here.if_all})
         if ballot.is_won(MEMBERS):
-            changed = _with(
+            changed = _update_node(
                 changed,
                 candidate,
-                leads=True,
+                is_leader=True,
                 is_candidate=False,
-                firm=frozenset(),
+                unconditional=frozenset(),
                 if_all=frozenset(),
-                counted=frozenset(),
+                acknowledged_by=frozenset(),
             )
         return name, changed
 
@@ -171,15 +180,15 @@
         if here.term > term:
             return
         voted_for = here.voted_for if here.term == term else None
-        changed = _with(
+        changed = _update_node(
             state,
             follower,
             term=term,
             voted_for=voted_for,
-            leads=False,
+            is_leader=False,
             is_candidate=False,
-            hearing=Hearing.HEARD,
-            counted=frozenset(),
+            leader_contact=LeaderContact.FOLLOWING,
+            acknowledged_by=frozenset(),
         )
         acks = changed.acks | {(follower, leader, term)}
         yield f"append {leader}>{follower}", attrs.evolve(changed, acks=acks)
@@ -188,35 +197,39 @@
     def _acknowledge(state: State, follower: int, leader: int, term: int) -> tuple[str, State]:
         left = attrs.evolve(state, acks=state.acks - {(follower, leader, term)})
         here = state.nodes[leader]
-        if here.leads and here.term == term:
-            left = _with(left, leader, counted=here.counted | {follower})
+        if here.is_leader and here.term == term:
+            left = _update_node(left, leader, acknowledged_by=here.acknowledged_by | {follower})
         return f"ack {follower}>{leader}", left
 
 
-def one_authority(state: State) -> bool:
-    """At most one leader counts on a quorum."""
+def has_at_most_one_acting_leader(state: State) -> bool:
+    """Return whether at most one leader holds a lease, which needs a quorum."""
     acting = [
         node
         for node, here in enumerate(state.nodes)
-        if here.leads and len(here.counted | {node}) >= MEMBERS.quorum
+        if here.is_leader and len(here.acknowledged_by | {node}) >= MEMBERS.quorum
     ]
     return len(acting) <= 1
 
 
-def _waited(state: State, node: int) -> State:
-    """End a promise or the wait after a start: nobody counts on this voter any more."""
+def _expire_leader_contact(state: State, node: int) -> State:
+    """End a voter's wait after leader contact or a start: no leader relies on it any more."""
     nodes = tuple(
-        attrs.evolve(each, counted=each.counted - {node}) if each.leads else each
+        attrs.evolve(each, acknowledged_by=each.acknowledged_by - {node})
+        if each.is_leader
+        else each
         for each in state.nodes
     )
     acks = frozenset(ack for ack in state.acks if ack[0] != node)
-    return _with(attrs.evolve(state, nodes=nodes, acks=acks), node, hearing=Hearing.FREE)
+    return _update_node(
+        attrs.evolve(state, nodes=nodes, acks=acks), node, leader_contact=LeaderContact.EXPIRED
+    )
 
 
-def _with(state: State, node: int, **changes: object) -> State:
-    return _put(state, node, attrs.evolve(state.nodes[node], **changes))
+def _update_node(state: State, node: int, **changes: object) -> State:
+    return _replace_node(state, node, attrs.evolve(state.nodes[node], **changes))
 
 
-def _put(state: State, node: int, changed: Node) -> State:
+def _replace_node(state: State, node: int, changed: Node) -> State:
     nodes = tuple(changed if number == node else each for number, each in enumerate(state.nodes))
     return attrs.evolve(state, nodes=nodes)
--- a/testing/model/minicheck.py
+++ b/testing/model/minicheck.py
@@ -1,4 +1,4 @@
-"""A breadth-first check of every state that a small model can reach."""
+"""A breadth-first model checker for small models."""
 
 from __future__ import annotations
 
@@ -12,42 +12,45 @@
 
 
 @attrs.frozen
-class Checked:
-    """What a check found; ``path`` are the steps to the state that breaks the invariant."""
+class CheckResult:
+    """The number of states visited, and the steps to a state that violates the invariant.
+
+    ``path`` is ``None`` if the invariant holds in all states.
+    """
 
     states: int
     path: tuple[str, ...] | None
 
 
 def check(
-    first: S,
+    initial: S,
     steps: Callable[[S], Iterable[tuple[str, S]]],
-    holds: Callable[[S], bool],
-) -> Checked:
-    """Visit every state that can be reached; stop at the first in which ``holds`` is false.
+    invariant: Callable[[S], bool],
+) -> CheckResult:
+    """Visit every reachable state; stop at the first in which ``invariant`` is false.
 
     >>> def count(state): return [("up", state + 1)] if state < 5 else []
     >>> check(0, count, lambda state: True)
-    Checked(states=6, path=None)
+    CheckResult(states=6, path=None)
     >>> check(0, count, lambda state: state < 2).path
     ('up', 'up')
     """
-    before: dict[S, tuple[str, S] | None] = {first: None}
-    waiting = collections.deque([first])
+    predecessors: dict[S, tuple[str, S] | None] = {initial: None}
+    waiting = collections.deque([initial])
     while waiting:
         state = waiting.popleft()
-        if not holds(state):
-            return Checked(len(before), _path(before, state))
+        if not invariant(state):
+            return CheckResult(len(predecessors), _path(predecessors, state))
         for name, following in steps(state):
-            if following not in before:
-                before[following] = (name, state)
+            if following not in predecessors:
+                predecessors[following] = (name, state)
                 waiting.append(following)
-    return Checked(len(before), None)
+    return CheckResult(len(predecessors), None)
 
 
-def _path(before: dict[S, tuple[str, S] | None], state: S) -> tuple[str, ...]:
+def _path(predecessors: dict[S, tuple[str, S] | None], state: S) -> tuple[str, ...]:
     names = []
-    while (step := before[state]) is not None:
+    while (step := predecessors[state]) is not None:
         name, state = step
         names.append(name)
     return tuple(reversed(names))
--- a/testing/model/test_authority.py
+++ b/testing/model/test_authority.py
@@ -1,4 +1,4 @@
-"""No two leaders may act at once, in every state of a small model.
+"""Checks in every state of a small model that no two leaders can hold a lease at once.
 
 ``make check-model`` visits more states than CI does.
 """
@@ -17,7 +17,7 @@
 
 def run(mutation=authority.Mutation.NONE, terms=TERMS, restarts=RESTARTS):
     model = authority.Model(terms, restarts, mutation)
-    return minicheck.check(authority.State(), model.steps, authority.one_authority)
+    return minicheck.check(authority.State(), model.steps, authority.has_at_most_one_acting_leader)
 
 
 def test_at_most_one_leader_has_authority():
@@ -30,10 +30,10 @@
 @pytest.mark.parametrize(
     ("mutation", "terms", "restarts"),
     [
-        (authority.Mutation.FRESH_IS_FREE, 2, 1),
-        (authority.Mutation.LEADER_AGREES, 2, 0),
+        (authority.Mutation.RESTARTED_VOTES_UNCONDITIONALLY, 2, 1),
+        (authority.Mutation.LEADER_VOTES_FOR_OTHER, 2, 0),
         (authority.Mutation.FORGETS_VOTE, 1, 1),
-        (authority.Mutation.ANY_TERM, 2, 0),
+        (authority.Mutation.VOTE_COUNTS_FOR_LATER_TERM, 2, 0),
     ],
 )
 def test_a_fault_in_the_rules_is_found(mutation, terms, restarts):
--- a/testing/storage/test_packed_text.py
+++ b/testing/storage/test_packed_text.py
@@ -9,10 +9,10 @@
 
 
 def configuration(routes):
-    made = [
+    entries = [
         {"name": f"route-{n:06}", "prefix": f"/path-{n:06}/", "kind": "x"} for n in range(routes)
     ]
-    return json.dumps({"routes": made})
+    return json.dumps({"routes": entries})
 
 
 @pytest.fixture
@@ -21,38 +21,38 @@
     return agreed.SubmitConfiguration(submissions.Submission("aigerim", 7, document))
 
 
-def test_a_long_command_is_written_short_and_read_back(submitted):
+def test_a_long_command_is_compressed_and_read_back(submitted):
     record = commands.encode(submitted)
     assert commands.decode(record) == submitted
     assert len(record) < len(submitted.submission.document_json) / 4
-    # A message holds it with hardly a character that JSON would escape.
+    # Within a JSON message, hardly a character of it needs an escape.
     assert len(json.dumps(record.decode())) < len(record) + 10
 
 
-def test_a_long_state_is_written_short_and_read_back(submitted):
+def test_a_long_state_is_compressed_and_read_back(submitted):
     state = agreed.AgreedState(submissions=submissions.HighestNumber())
     state.apply(submitted)
     text = state_codec.encode(state)
-    again = agreed.AgreedState()
-    state_codec.restore(text, again)
-    assert again == state
+    restored = agreed.AgreedState()
+    state_codec.restore(text, restored)
+    assert restored == state
     assert len(text) < len(submitted.submission.document_json) / 4
 
 
-def test_a_long_command_of_a_disk_written_before_is_read(submitted):
+def test_a_long_command_stored_uncompressed_by_an_older_version_is_read(submitted):
     before = packed_text.unpack(commands.encode(submitted).decode())
     assert before.startswith("{")
     assert commands.decode(before.encode()) == submitted
 
 
 @pytest.mark.parametrize("damage", ["!", "=", "AAAA"])
-def test_a_damaged_text_is_refused(damage):
+def test_a_corrupt_text_is_refused(damage):
     packed = packed_text.pack(configuration(300))
     with pytest.raises(ValueError, match="cannot be unpacked"):
         packed_text.unpack(packed[: len(packed_text.PREFIX)] + damage + packed[60:])
 
 
-def test_a_long_command_is_kept_by_a_log_of_records(submitted, tmp_path):
+def test_a_compressed_command_is_a_valid_payload_of_a_record_log(submitted, tmp_path):
     path = tmp_path / "commands.log"
     log, _ = record_log.open_log(path)
     log.append([commands.encode(submitted)])
--- a/testing/storage/test_record_log.py
+++ b/testing/storage/test_record_log.py
@@ -49,7 +49,7 @@
     assert read(path).payloads == (ONE, TWO, THREE)
 
 
-def test_a_torn_end_is_cut_at_every_length(path):
+def test_an_incomplete_last_record_of_any_length_is_truncated(path):
     write(path, ONE, TWO)
     whole = path.read_bytes()
     first = len(whole) // 2
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("offset", [0, 5, 9])
-def test_damage_before_the_end_is_refused_with_file_and_offset(path, offset):
-    """A damaged length (0), checksum (5) or payload (9) of the first of two records."""
+def test_corruption_before_the_end_is_refused_with_file_and_offset(path, offset):
+    """A corrupt length (0), checksum (5) or payload (9) of the first of two records."""
     write(path, ONE, TWO)
     data = bytearray(path.read_bytes())
     data[offset] ^= 0x40
@@ -75,7 +75,7 @@
     assert "offset 0" in caught.value.detail
 
 
-def test_damage_in_every_record_is_no_torn_end(path):
+def test_corruption_in_every_record_does_not_count_as_an_incomplete_end(path):
     write(path, ONE, TWO)
     data = bytearray(path.read_bytes())
     data[9] ^= 0x40
@@ -85,8 +85,8 @@
         record_log.open_log(path)
 
 
-def test_damage_is_seen_by_a_whole_record_of_any_size_after_it(path):
-    """The damaged length points past the end; only the large record tells that it does not end."""
+def test_corruption_is_detected_by_a_valid_record_of_any_size_after_it(path):
+    """The corrupt length points past the end; only the large record shows that it isn't the end."""
     large = orjson.dumps({"n": "x" * (17 * 1024 * 1024)})
     write(path, ONE, large)
     assert read(path).payloads == (ONE, large)
@@ -97,7 +97,7 @@
         record_log.open_log(path)
 
 
-def test_a_payload_that_is_no_object_is_refused_before_anything_is_written(path):
+def test_a_payload_that_is_not_a_json_object_is_refused_before_anything_is_written(path):
     log, _ = record_log.open_log(path)
     with pytest.raises(ValueError, match="JSON object"):
         log.append([ONE, b"[1]"])
@@ -108,11 +108,11 @@
 
 TEXTS = st.text(max_size=40)
 PAYLOADS = st.lists(st.dictionaries(TEXTS, TEXTS, max_size=3).map(orjson.dumps), min_size=2)
-ONE_A_SYNC = st.booleans()
+SINGLE_RECORD_APPENDS = st.booleans()
 
 
-def scratch(folder, payloads):
-    """Return a new file that holds these records, and where each ends."""
+def write_records(folder, payloads):
+    """Write a new log file; return its path and the offset at which each record ends."""
     path = pathlib.Path(tempfile.mkdtemp(dir=folder)) / "commands.log"
     write(path, *payloads)
     return path, list(itertools.accumulate(record_log.size_bytes(each) for each in payloads))
@@ -123,48 +123,48 @@
     return tmp_path_factory.mktemp("properties")
 
 
-@hypothesis.given(PAYLOADS, ONE_A_SYNC, st.data())
-def test_any_tear_of_the_last_record_is_cut(folder, payloads, one_a_sync, data):
-    path, ends = scratch(folder, payloads)
+@hypothesis.given(PAYLOADS, SINGLE_RECORD_APPENDS, st.data())
+def test_a_last_record_cut_at_any_byte_is_truncated(folder, payloads, one_a_sync, data):
+    path, ends = write_records(folder, payloads)
     size_bytes = data.draw(st.integers(ends[-2], ends[-1] - 1))
     path.write_bytes(path.read_bytes()[:size_bytes])
-    log, replay = record_log.open_log(path, one_record_a_sync=one_a_sync)
+    log, replay = record_log.open_log(path, single_record_appends=one_a_sync)
     log.close()
     assert replay.payloads == tuple(payloads[:-1])
     assert path.stat().st_size == ends[-2]
 
 
 @hypothesis.given(PAYLOADS, st.data())
-def test_any_hole_or_change_in_a_last_record_that_was_synced_alone_is_cut(folder, payloads, data):
-    path, ends = scratch(folder, payloads)
+def test_a_last_record_with_any_range_overwritten_is_truncated(folder, payloads, data):
+    path, ends = write_records(folder, payloads)
     whole = path.read_bytes()
     first = data.draw(st.integers(ends[-2], ends[-1] - 1))
     last = data.draw(st.integers(first + 1, ends[-1]))
     instead = data.draw(st.sampled_from([bytes(last - first), b"\xff" * (last - first)]))
     hypothesis.assume(whole[first:last] != instead)
     path.write_bytes(whole[:first] + instead + whole[last:])
-    log, replay = record_log.open_log(path, one_record_a_sync=True)
+    log, replay = record_log.open_log(path, single_record_appends=True)
     log.close()
     assert replay.payloads == tuple(payloads[:-1])
 
 
-@hypothesis.given(PAYLOADS, ONE_A_SYNC, st.integers(1, 255), st.data())
-def test_any_flipped_byte_before_a_whole_record_is_refused(
+@hypothesis.given(PAYLOADS, SINGLE_RECORD_APPENDS, st.integers(1, 255), st.data())
+def test_any_flipped_byte_before_a_valid_record_is_refused(
     folder, payloads, one_a_sync, flip, data
 ):
-    path, ends = scratch(folder, payloads)
+    path, ends = write_records(folder, payloads)
     content = bytearray(path.read_bytes())
     content[data.draw(st.integers(0, ends[-2] - 1))] ^= flip
     path.write_bytes(content)
     with pytest.raises(errors.CroftpulleyError) as caught:
-        record_log.open_log(path, one_record_a_sync=one_a_sync)
+        record_log.open_log(path, single_record_appends=one_a_sync)
     assert caught.value.code is codes.ResultCode.LOG_CORRUPT
     assert path.read_bytes() == content
 
 
 @contextlib.contextmanager
 def counted_calls():
-    """Count each call of a function, of Python's own too, and how much is given to CRC-32."""
+    """Count function calls, including those of C functions, and the bytes given to CRC-32."""
     counts = collections.Counter()
 
     def crc32(data, value=0):
@@ -201,11 +201,11 @@
     ],
     ids=["text", "hole", "hole-then-text", "noise"],
 )
-def test_a_large_torn_record_is_cut_without_work_at_each_of_its_bytes(path, torn):
+def test_a_large_incomplete_record_is_truncated_without_work_for_each_byte(path, torn):
     write(path, ONE)
     path.write_bytes(path.read_bytes() + torn)
     with counted_calls() as counts:
-        log, replay = record_log.open_log(path, one_record_a_sync=True)
+        log, replay = record_log.open_log(path, single_record_appends=True)
     log.close()
     assert replay.payloads == (ONE,)
     assert counts["calls"] < 1000
@@ -213,7 +213,7 @@
 
 
 class FullDisk(files.DiskFile):
-    """A disk that takes no more once told so."""
+    """A disk that writes only half of the data and fails while ``full`` is set."""
 
     full = False
 
@@ -224,7 +224,7 @@
         super().append(data)
 
 
-def test_a_full_disk_fails_the_command_and_nothing_of_it_counts(tmp_path, monkeypatch):
+def test_a_command_that_fails_on_a_full_disk_has_no_effect(tmp_path, monkeypatch):
     monkeypatch.setattr(FullDisk, "full", False)
     log = agreement.SingleLog(tmp_path, FullDisk)
     log.propose(agreed.GrantOwnership("e", "a")).get()
@@ -232,7 +232,7 @@
     with pytest.raises(OSError, match="no space"):
         log.propose(agreed.GrantOwnership("e", "b")).get()
     FullDisk.full = False
-    # What the disk holds is not known now, so the log must not go on.
+    # The disk's content is unknown now, so the log must refuse further writes.
     with pytest.raises(OSError, match="failed before"):
         log.propose(agreed.GrantOwnership("e", "c")).get()
     assert log.read().owners["e"].box == "a"
@@ -242,7 +242,7 @@
     again.stop()
 
 
-def test_a_result_is_given_only_after_the_sync(tmp_path):
+def test_a_command_completes_only_after_the_sync(tmp_path):
     class Watched(files.DiskFile):
         synced_after_last_append = False
 
--- a/testing/storage/test_replica_store.py
+++ b/testing/storage/test_replica_store.py
@@ -8,7 +8,7 @@
 from croftpulley.storage import files, replica_store
 
 MEMBERS = messages.Members((messages.Member("a", "127.0.0.1:1"),))
-FRESH = messages.Stored(snapshot=messages.Snapshot(members=MEMBERS))
+INITIAL = messages.Stored(snapshot=messages.Snapshot(members=MEMBERS))
 
 
 def entry(payload, term=1):
@@ -17,27 +17,27 @@
 
 @pytest.fixture
 def store(tmp_path):
-    made = replica_store.ReplicaStore(tmp_path)
-    made.load(FRESH)
-    yield made
-    made.close()
+    opened = replica_store.ReplicaStore(tmp_path)
+    opened.load(INITIAL)
+    yield opened
+    opened.close()
 
 
-def loaded(folder):
+def load_store(folder):
     again = replica_store.ReplicaStore(folder)
     stored = again.load(messages.Stored())
     again.close()
     return stored
 
 
-def test_an_empty_folder_holds_what_it_is_given(store, tmp_path):
-    assert loaded(tmp_path) == FRESH
+def test_an_empty_folder_is_initialized_with_the_given_state(store, tmp_path):
+    assert load_store(tmp_path) == INITIAL
 
 
-def test_writes_are_read_back_and_replace_what_they_overlap(store, tmp_path):
+def test_writes_are_read_back_and_replace_overlapping_entries(store, tmp_path):
     store.write(messages.Write(1, "a", 1, (entry("x"), entry("y"))))
     store.write(messages.Write(2, "", 2, (entry("z", 2),)))
-    stored = loaded(tmp_path)
+    stored = load_store(tmp_path)
     assert (stored.term, stored.voted_for) == (2, "")
     assert stored.entries == (entry("x"), entry("z", 2))
 
@@ -47,24 +47,24 @@
     kept = messages.Stored(3, "b", messages.Snapshot(1, 1, MEMBERS, "state"), (entry("y", 3),))
     store.rewrite(kept)
     store.write(messages.Write(3, "b", 3, (entry("z", 3),)))
-    assert loaded(tmp_path).entries == (entry("y", 3), entry("z", 3))
+    assert load_store(tmp_path).entries == (entry("y", 3), entry("z", 3))
     assert [path.name for path in tmp_path.glob("log-*")] == ["log-00000002"]
 
 
-def state_of(size_bytes):
+def state_of_size(size_bytes):
     return messages.Stored(1, "a", messages.Snapshot(1, 1, MEMBERS, "x" * size_bytes))
 
 
-def test_what_was_added_counts_from_the_beginning_of_the_generation(store):
+def test_added_bytes_excludes_the_first_record_of_a_generation(store):
     assert store.added_bytes == 0
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
     assert 0 < store.added_bytes < store.size_bytes
-    store.rewrite(state_of(1000))
+    store.rewrite(state_of_size(1000))
     assert store.added_bytes == 0
 
 
-def test_what_was_added_is_known_when_a_generation_is_loaded(store, tmp_path):
-    store.rewrite(state_of(1000))
+def test_added_bytes_is_restored_when_a_generation_is_loaded(store, tmp_path):
+    store.rewrite(state_of_size(1000))
     store.write(messages.Write(1, "a", 2, (entry("x"),)))
     again = replica_store.ReplicaStore(tmp_path)
     again.load(messages.Stored())
@@ -76,48 +76,48 @@
 @pytest.mark.parametrize(
     ("base_bytes", "added_bytes", "outgrown"),
     [
-        (100, 1500, False),  # less than the least
+        (100, 1500, False),  # less than the minimum
         (100, 2500, True),
-        (4000, 2500, False),  # less than the base
+        (4000, 2500, False),  # less than the first record
         (4000, 4500, True),
         (12_000_000, 8_000_000, False),
         (
             12_000_000,
             9_000_000,
             True,
-        ),  # less than the base, but more than a small disk has room for
+        ),  # less than the first record, but more than a small disk has room for
     ],
 )
-def test_a_generation_is_outgrown_by_as_much_as_it_began_with_within_bounds(
+def test_a_rewrite_is_due_once_as_much_was_added_as_the_first_record_within_bounds(
     store, tmp_path, base_bytes, added_bytes, outgrown
 ):
-    store.rewrite(state_of(base_bytes))
+    store.rewrite(state_of_size(base_bytes))
     store.write(messages.Write(1, "a", 2, (entry("x" * added_bytes),)))
-    assert store.has_outgrown(least_bytes=2000) is outgrown
+    assert store.has_outgrown(min_bytes=2000) is outgrown
     again = replica_store.ReplicaStore(tmp_path)
     again.load(messages.Stored())
-    assert again.has_outgrown(least_bytes=2000) is outgrown
+    assert again.has_outgrown(min_bytes=2000) is outgrown
     again.close()
 
 
-def test_an_old_generation_that_came_back_does_not_count(store, tmp_path):
+def test_an_old_generation_that_reappears_is_ignored(store, tmp_path):
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
     old = (tmp_path / "log-00000001").read_bytes()
     store.rewrite(messages.Stored(term=9))
     (tmp_path / "log-00000001").write_bytes(old)
-    assert loaded(tmp_path).term == 9
+    assert load_store(tmp_path).term == 9
 
 
-def test_a_write_torn_with_a_hole_at_its_beginning_is_cut(store, tmp_path):
+def test_an_incomplete_write_with_a_hole_at_its_start_is_truncated(store, tmp_path):
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
     path = tmp_path / "log-00000001"
     whole = path.read_bytes()
     path.write_bytes(whole + bytes(40) + b"the rest of a record whose beginning was lost")
-    assert loaded(tmp_path).entries == (entry("x"),)
+    assert load_store(tmp_path).entries == (entry("x"),)
     assert path.read_bytes() == whole
 
 
-def test_a_full_disk_loses_nothing_and_takes_writes_after_it_is_loaded_anew(tmp_path):
+def test_a_full_disk_loses_no_entry_and_accepts_writes_after_a_reload(tmp_path):
     class FullDisk(files.DiskFile):
         full = False
 
@@ -128,7 +128,7 @@
             super().append(data)
 
     store = replica_store.ReplicaStore(tmp_path, FullDisk)
-    store.load(FRESH)
+    store.load(INITIAL)
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
     FullDisk.full = True
     with pytest.raises(OSError, match="no space"):
@@ -139,10 +139,10 @@
     assert store.load(messages.Stored()).entries == (entry("x"),)
     store.write(messages.Write(1, "a", 2, (entry("z"),)))
     store.close()
-    assert loaded(tmp_path).entries == (entry("x"), entry("z"))
+    assert load_store(tmp_path).entries == (entry("x"), entry("z"))
 
 
-def test_an_identity_is_kept(tmp_path):
+def test_the_replica_id_is_stored(tmp_path):
     assert replica_store.read_identity(tmp_path) == ""
     replica_store.write_identity(tmp_path, "replica-1")
     assert replica_store.read_identity(tmp_path) == "replica-1"
--- a/testing/storage/test_state_codec.py
+++ b/testing/storage/test_state_codec.py
@@ -22,9 +22,9 @@
         agreed.RecordOutcome("clinic", "k", outcome),
     ):
         state.apply(command)
-    again = agreed.AgreedState()
-    state_codec.restore(state_codec.encode(state), again)
-    assert again == state
+    restored = agreed.AgreedState()
+    state_codec.restore(state_codec.encode(state), restored)
+    assert restored == state
 
 
 @pytest.mark.parametrize("register", [submissions.Submissions, submissions.HighestNumber])
@@ -44,8 +44,8 @@
         state_codec.restore('{"boxes": 3}', agreed.AgreedState())
 
 
-def test_a_snapshot_of_the_form_before_is_read_and_nothing_lost():
-    # Disks written before the document and its version became one value.
+def test_a_snapshot_in_the_older_format_is_read_without_loss():
+    # Written before the document and its version became one field.
     text = (
         '{"register": {"rule": "HighestNumber", "version": 9, "document_json": "{}9", '
         '"current": {"operator": "", "number": 9, "digest": "d", "version": 9}}, '
@@ -57,7 +57,7 @@
     assert state.submissions.history()[0].number == 9
 
 
-def test_a_register_of_no_known_form_is_refused():
+def test_a_register_in_an_unknown_format_is_refused():
     text = '{"register": {"rule": "HighestNumber"}, "claims": [], "boxes": [], "owners": []}'
     with pytest.raises(ValueError, match="holds no state"):
         state_codec.restore(text, agreed.AgreedState())
