--- a/src/croftpulley/storage/commands.py
+++ b/src/croftpulley/storage/commands.py
@@ -29,9 +29,7 @@
         document = orjson.loads(packed_text.unpack(record.decode()))
         command: agreed.Command = _converter().structure(document, _ANY_COMMAND)
     except (KeyError, cattrs.BaseValidationError) as failure:
-        raise ValueError(f"got a log record that holds no known command: {record[:80]!r}") from (
-            failure
-        )
+        raise ValueError(f"log record holds no known command: {record[:80]!r}") from (failure)
     return command
 
 
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -76,7 +76,7 @@
         document = _CONVERTER.structure(orjson.loads(packed_text.unpack(text)), _Document)
         register = _CONVERTER.structure(_upgrade_register(document.register), _REGISTERS)
     except (KeyError, cattrs.BaseValidationError) as failure:
-        raise ValueError(f"got a snapshot that holds no state: {failure}") from failure
+        raise ValueError(f"snapshot holds no state: {failure}") from failure
     state.submissions = register
     state.claims = claims.Claims(
         {(each.workspace, each.key): each.claim for each in document.claims}
--- a/testing/core/replication/cluster.py
+++ b/testing/core/replication/cluster.py
@@ -181,15 +181,15 @@
         """Send requests that share the link, as connections do: all finish at nearly one time."""
         sizes_bytes = [len(json_codec.encode(each, replica_codec.REQUEST)) for each in requests]
         begins_at_s = max(self.now_s, machine.link_free_at_s)
-        over_at_s = begins_at_s + sum(sizes_bytes) / self.link_bytes_per_s
-        gives_up_at_s = self.now_s + REQUEST_TIMEOUT_S
-        machine.link_free_at_s = min(over_at_s, gives_up_at_s)
+        done_at_s = begins_at_s + sum(sizes_bytes) / self.link_bytes_per_s
+        times_out_at_s = self.now_s + REQUEST_TIMEOUT_S
+        machine.link_free_at_s = min(done_at_s, times_out_at_s)
         for request in requests:
-            if over_at_s > gives_up_at_s:
-                self.failures.append(FailedRequest(gives_up_at_s, machine, request.to))
+            if done_at_s > times_out_at_s:
+                self.failures.append(FailedRequest(times_out_at_s, machine, request.to))
                 continue
             target = self.address_of(machine, request.to)
-            at_s = over_at_s + self.delay_s
+            at_s = done_at_s + self.delay_s
             self.network.append(InFlightMessage(at_s, machine.address, target, self.now_s, request))
 
     def fail_requests(self) -> None:
@@ -221,8 +221,8 @@
 
     def deliver(self, message: InFlightMessage) -> None:
         target = self.machines.get(message.target)
-        linked = frozenset((message.source, message.target)) not in self.cut_links
-        if target is None or not target.alive or not linked:
+        is_connected = frozenset((message.source, message.target)) not in self.cut_links
+        if target is None or not target.alive or not is_connected:
             return
         if isinstance(message.body, messages.Reply):
             effects = target.running.reply(message.body, message.sent_s, self.now_s)
--- a/testing/core/replication/test_large_entries.py
+++ b/testing/core/replication/test_large_entries.py
@@ -96,21 +96,21 @@
     cluster.propose(large_text(1_500_000))
     for _ in range(100):
         cluster.step()
-        quorum_s = leader.running.authority_until_s(cluster.now_s)
-        assert quorum_s > cluster.now_s, "the lease ended although a quorum follows"
+        lease_until_s = leader.running.authority_until_s(cluster.now_s)
+        assert lease_until_s > cluster.now_s, "the lease ended although a quorum follows"
     assert leader.running.role is state.Role.LEADER
     assert len(cluster.acknowledged) == 1
 
 
 def test_an_incomplete_command_is_dropped_when_a_new_term_starts():
-    assembly = long_texts.CommandAssembler()
+    assembler = long_texts.CommandAssembler()
     kind = messages.EntryKind.COMMAND
-    assert assembly.add(messages.Entry(1, kind, "lost", continues=True)) is None
+    assert assembler.add(messages.Entry(1, kind, "lost", continues=True)) is None
     start = messages.Entry(2, messages.EntryKind.START)
-    assert assembly.add(start) is start
-    assert assembly.is_whole
+    assert assembler.add(start) is start
+    assert assembler.is_whole
     after = messages.Entry(2, kind, "after")
-    assert assembly.add(after) == after
+    assert assembler.add(after) == after
 
 
 def test_applied_index_excludes_an_incomplete_command():
@@ -128,7 +128,7 @@
     rng = random.Random(seed)
     texts = {term: large_text(5 * long_texts.PART_LENGTH, term) for term in (4, 5)}
     incoming = long_texts.IncomingSnapshot()
-    whole = []
+    completed = []
     for _ in range(300):
         term = rng.choice((4, 5)) if rng.random() < 0.1 else incoming.term or 4
         offset = 0 if term != incoming.term else incoming.received
@@ -148,10 +148,10 @@
         )
         snapshot = incoming.add(request)
         if snapshot is not None:
-            whole.append(snapshot.state)
+            completed.append(snapshot.state)
             incoming.clear()
-    assert whole
-    assert set(whole) <= set(texts.values())
+    assert completed
+    assert set(completed) <= set(texts.values())
 
 
 def test_requests_stay_short_while_a_large_entry_is_replicated():
@@ -218,11 +218,11 @@
 
 
 def test_a_late_reply_about_an_older_snapshot_is_ignored():
-    known = progress.Progress(next_index=1, tracked_since_s=0.0)
-    known.current_snapshot(messages.Snapshot(index=50, term=1, state="sssss"))
-    known.record_snapshot_reply(messages.SnapshotReply(replica="b", term=1, index=20, received=9))
-    assert known.match_index == 0
-    assert known.outgoing_snapshot.offset == 0
+    peer = progress.Progress(next_index=1, tracked_since_s=0.0)
+    peer.current_snapshot(messages.Snapshot(index=50, term=1, state="sssss"))
+    peer.record_snapshot_reply(messages.SnapshotReply(replica="b", term=1, index=20, received=9))
+    assert peer.match_index == 0
+    assert peer.outgoing_snapshot.offset == 0
 
 
 def test_a_replica_catches_up_even_if_compactions_come_faster_than_a_snapshot_transfer():
--- a/testing/core/replication/test_voting.py
+++ b/testing/core/replication/test_voting.py
@@ -12,8 +12,8 @@
 
 
 def make_replica(name="a", now_s=0.0, **stored):
-    kept = messages.Stored(snapshot=messages.Snapshot(members=MEMBERS), **stored)
-    return replica.Replica(name, kept, state.Timing(), random.Random(1), now_s)
+    persistent = messages.Stored(snapshot=messages.Snapshot(members=MEMBERS), **stored)
+    return replica.Replica(name, persistent, state.Timing(), random.Random(1), now_s)
 
 
 def vote_request(term=9, candidate="b", trial=False):
@@ -47,8 +47,8 @@
     began_s = cluster.now_s
     while not cluster.leaders():
         cluster.step()
-    got_s = cluster.now_s - began_s
-    assert got_s < cluster.timing.election_s
+    election_took_s = cluster.now_s - began_s
+    assert election_took_s < cluster.timing.election_s
     cluster.run(1.0)
     (leader,) = cluster.leaders()
     assert leader.applied == ["kept"]
--- a/testing/model/authority.py
+++ b/testing/model/authority.py
@@ -202,7 +202,7 @@
         return f"ack {follower}>{leader}", left
 
 
-def has_at_most_one_acting_leader(state: State) -> bool:
+def has_at_most_one_lease_holder(state: State) -> bool:
     """Return whether at most one leader holds a lease, which needs a quorum."""
     acting = [
         node
--- a/testing/model/test_authority.py
+++ b/testing/model/test_authority.py
@@ -17,10 +17,10 @@
 
 def run(mutation=authority.Mutation.NONE, terms=TERMS, restarts=RESTARTS):
     model = authority.Model(terms, restarts, mutation)
-    return minicheck.check(authority.State(), model.steps, authority.has_at_most_one_acting_leader)
+    return minicheck.check(authority.State(), model.steps, authority.has_at_most_one_lease_holder)
 
 
-def test_at_most_one_leader_has_authority():
+def test_at_most_one_leader_holds_a_lease():
     checked = run()
     print(f"{checked.states} states with {TERMS} terms and {RESTARTS} restarts")
     assert checked.path is None, checked.path
--- a/testing/storage/test_packed_text.py
+++ b/testing/storage/test_packed_text.py
@@ -40,9 +40,9 @@
 
 
 def test_a_long_command_stored_uncompressed_by_an_older_version_is_read(submitted):
-    before = packed_text.unpack(commands.encode(submitted).decode())
-    assert before.startswith("{")
-    assert commands.decode(before.encode()) == submitted
+    uncompressed = packed_text.unpack(commands.encode(submitted).decode())
+    assert uncompressed.startswith("{")
+    assert commands.decode(uncompressed.encode()) == submitted
 
 
 @pytest.mark.parametrize("damage", ["!", "=", "AAAA"])
@@ -57,6 +57,6 @@
     log, _ = record_log.open_log(path)
     log.append([commands.encode(submitted)])
     log.close()
-    again, replay = record_log.open_log(path)
-    again.close()
+    reopened, replay = record_log.open_log(path)
+    reopened.close()
     assert [commands.decode(each) for each in replay.payloads] == [submitted]
--- a/testing/storage/test_record_log.py
+++ b/testing/storage/test_record_log.py
@@ -51,14 +51,14 @@
 
 def test_an_incomplete_last_record_of_any_length_is_truncated(path):
     write(path, ONE, TWO)
-    whole = path.read_bytes()
-    first = len(whole) // 2
-    for size in range(first, len(whole)):
-        path.write_bytes(whole[:size])
+    content = path.read_bytes()
+    first_record_bytes = len(content) // 2
+    for size in range(first_record_bytes, len(content)):
+        path.write_bytes(content[:size])
         replay = read(path)
         assert replay.payloads == (ONE,)
-        assert replay.cut_bytes == size - first
-        assert path.stat().st_size == first
+        assert replay.cut_bytes == size - first_record_bytes
+        assert path.stat().st_size == first_record_bytes
 
 
 @pytest.mark.parametrize("offset", [0, 5, 9])
@@ -124,11 +124,11 @@
 
 
 @hypothesis.given(PAYLOADS, SINGLE_RECORD_APPENDS, st.data())
-def test_a_last_record_cut_at_any_byte_is_truncated(folder, payloads, one_a_sync, data):
+def test_a_last_record_cut_at_any_byte_is_truncated(folder, payloads, single_record_appends, data):
     path, ends = write_records(folder, payloads)
     size_bytes = data.draw(st.integers(ends[-2], ends[-1] - 1))
     path.write_bytes(path.read_bytes()[:size_bytes])
-    log, replay = record_log.open_log(path, single_record_appends=one_a_sync)
+    log, replay = record_log.open_log(path, single_record_appends=single_record_appends)
     log.close()
     assert replay.payloads == tuple(payloads[:-1])
     assert path.stat().st_size == ends[-2]
@@ -137,12 +137,12 @@
 @hypothesis.given(PAYLOADS, st.data())
 def test_a_last_record_with_any_range_overwritten_is_truncated(folder, payloads, data):
     path, ends = write_records(folder, payloads)
-    whole = path.read_bytes()
+    content = path.read_bytes()
     first = data.draw(st.integers(ends[-2], ends[-1] - 1))
     last = data.draw(st.integers(first + 1, ends[-1]))
-    instead = data.draw(st.sampled_from([bytes(last - first), b"\xff" * (last - first)]))
-    hypothesis.assume(whole[first:last] != instead)
-    path.write_bytes(whole[:first] + instead + whole[last:])
+    replacement = data.draw(st.sampled_from([bytes(last - first), b"\xff" * (last - first)]))
+    hypothesis.assume(content[first:last] != replacement)
+    path.write_bytes(content[:first] + replacement + content[last:])
     log, replay = record_log.open_log(path, single_record_appends=True)
     log.close()
     assert replay.payloads == tuple(payloads[:-1])
@@ -150,14 +150,14 @@
 
 @hypothesis.given(PAYLOADS, SINGLE_RECORD_APPENDS, st.integers(1, 255), st.data())
 def test_any_flipped_byte_before_a_valid_record_is_refused(
-    folder, payloads, one_a_sync, flip, data
+    folder, payloads, single_record_appends, flip, data
 ):
     path, ends = write_records(folder, payloads)
     content = bytearray(path.read_bytes())
     content[data.draw(st.integers(0, ends[-2] - 1))] ^= flip
     path.write_bytes(content)
     with pytest.raises(errors.CroftpulleyError) as caught:
-        record_log.open_log(path, single_record_appends=one_a_sync)
+        record_log.open_log(path, single_record_appends=single_record_appends)
     assert caught.value.code is codes.ResultCode.LOG_CORRUPT
     assert path.read_bytes() == content
 
@@ -237,9 +237,9 @@
         log.propose(agreed.GrantOwnership("e", "c")).get()
     assert log.read().owners["e"].box == "a"
     log.stop()
-    again = agreement.SingleLog(tmp_path)
-    assert again.read().owners["e"] == membership.Ownership("e", "a", 1)
-    again.stop()
+    reopened = agreement.SingleLog(tmp_path)
+    assert reopened.read().owners["e"] == membership.Ownership("e", "a", 1)
+    reopened.stop()
 
 
 def test_a_command_completes_only_after_the_sync(tmp_path):
--- a/testing/storage/test_replica_store.py
+++ b/testing/storage/test_replica_store.py
@@ -24,9 +24,9 @@
 
 
 def load_store(folder):
-    again = replica_store.ReplicaStore(folder)
-    stored = again.load(messages.Stored())
-    again.close()
+    reloaded = replica_store.ReplicaStore(folder)
+    stored = reloaded.load(messages.Stored())
+    reloaded.close()
     return stored
 
 
@@ -44,8 +44,8 @@
 
 def test_a_new_generation_replaces_the_old_one(store, tmp_path):
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
-    kept = messages.Stored(3, "b", messages.Snapshot(1, 1, MEMBERS, "state"), (entry("y", 3),))
-    store.rewrite(kept)
+    new_state = messages.Stored(3, "b", messages.Snapshot(1, 1, MEMBERS, "state"), (entry("y", 3),))
+    store.rewrite(new_state)
     store.write(messages.Write(3, "b", 3, (entry("z", 3),)))
     assert load_store(tmp_path).entries == (entry("y", 3), entry("z", 3))
     assert [path.name for path in tmp_path.glob("log-*")] == ["log-00000002"]
@@ -66,15 +66,15 @@
 def test_added_bytes_is_restored_when_a_generation_is_loaded(store, tmp_path):
     store.rewrite(state_of_size(1000))
     store.write(messages.Write(1, "a", 2, (entry("x"),)))
-    again = replica_store.ReplicaStore(tmp_path)
-    again.load(messages.Stored())
-    assert again.added_bytes == store.added_bytes > 0
-    assert again.size_bytes == store.size_bytes
-    again.close()
+    reloaded = replica_store.ReplicaStore(tmp_path)
+    reloaded.load(messages.Stored())
+    assert reloaded.added_bytes == store.added_bytes > 0
+    assert reloaded.size_bytes == store.size_bytes
+    reloaded.close()
 
 
 @pytest.mark.parametrize(
-    ("base_bytes", "added_bytes", "outgrown"),
+    ("base_bytes", "added_bytes", "rewrite_due"),
     [
         (100, 1500, False),  # less than the minimum
         (100, 2500, True),
@@ -89,15 +89,15 @@
     ],
 )
 def test_a_rewrite_is_due_once_as_much_was_added_as_the_first_record_within_bounds(
-    store, tmp_path, base_bytes, added_bytes, outgrown
+    store, tmp_path, base_bytes, added_bytes, rewrite_due
 ):
     store.rewrite(state_of_size(base_bytes))
     store.write(messages.Write(1, "a", 2, (entry("x" * added_bytes),)))
-    assert store.has_outgrown(min_bytes=2000) is outgrown
-    again = replica_store.ReplicaStore(tmp_path)
-    again.load(messages.Stored())
-    assert again.has_outgrown(min_bytes=2000) is outgrown
-    again.close()
+    assert store.has_outgrown(min_bytes=2000) is rewrite_due
+    reloaded = replica_store.ReplicaStore(tmp_path)
+    reloaded.load(messages.Stored())
+    assert reloaded.has_outgrown(min_bytes=2000) is rewrite_due
+    reloaded.close()
 
 
 def test_an_old_generation_that_reappears_is_ignored(store, tmp_path):
@@ -111,10 +111,10 @@
 def test_an_incomplete_write_with_a_hole_at_its_start_is_truncated(store, tmp_path):
     store.write(messages.Write(1, "a", 1, (entry("x"),)))
     path = tmp_path / "log-00000001"
-    whole = path.read_bytes()
-    path.write_bytes(whole + bytes(40) + b"the rest of a record whose beginning was lost")
+    content = path.read_bytes()
+    path.write_bytes(content + bytes(40) + b"the rest of a record whose beginning was lost")
     assert load_store(tmp_path).entries == (entry("x"),)
-    assert path.read_bytes() == whole
+    assert path.read_bytes() == content
 
 
 def test_a_full_disk_loses_no_entry_and_accepts_writes_after_a_reload(tmp_path):
