--- a/src/croftpulley/controllers/__init__.py
+++ b/src/croftpulley/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers: actors that each hold one piece of state and drive one pure core."""
+"""Controllers: actors that each own one piece of state and drive one I/O-free core object."""
--- a/src/croftpulley/controllers/actors.py
+++ b/src/croftpulley/controllers/actors.py
@@ -1,4 +1,4 @@
-"""What all controllers share: typed messages, timers, and published views."""
+"""Building blocks of all controllers: the actor base class, a timer and published values."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 
 @attrs.frozen
 class Tick:
-    """Sent by a `Ticker`."""
+    """The message that a `Ticker` sends at each interval."""
 
 
 class View(Generic[T]):
-    """A value that one controller publishes and any thread reads without waiting."""
+    """A value that one controller publishes and any thread reads without blocking."""
 
     def __init__(self, value: T) -> None:
         self._value = value
         self._changed = threading.Condition()
 
     def get(self) -> T:
-        """Return the value last published."""
+        """Return the most recently published value."""
         return self._value
 
     def publish(self, value: T) -> None:
-        """Publish a new value."""
+        """Replace the value and wake the threads in `wait_for`."""
         with self._changed:
             self._value = value
             self._changed.notify_all()
 
-    def wait_for(self, holds: Callable[[T], bool], timeout_s: float) -> bool:
-        """Wait until ``holds`` of the value; return whether it does."""
+    def wait_for(self, predicate: Callable[[T], bool], timeout_s: float) -> bool:
+        """Block until ``predicate`` is true of the value; return ``False`` on timeout."""
         with self._changed:
-            return self._changed.wait_for(lambda: holds(self._value), timeout_s)
+            return self._changed.wait_for(lambda: predicate(self._value), timeout_s)
 
 
 class Controller(pykka.ThreadingActor):
-    """An actor that handles typed messages and survives an error in one of them."""
+    """An actor that handles typed messages and keeps running if handling one raises."""
 
     use_daemon_thread = True
 
     def on_receive(self, message: Any) -> Any:
-        """Handle one message; an unexpected error is logged and is the answer to who asked."""
+        """Handle one message; an unexpected exception is logged and returned as the reply."""
         try:
             return self.handle(message)
         except Exception as failure:
@@ -65,12 +65,12 @@
             return failure
 
     def tell_self(self, message: object) -> None:
-        """Queue a message from a thread that may outlive this controller a moment."""
+        """Queue a message from a thread that may outlive this controller; ignored once stopped."""
         with contextlib.suppress(pykka.ActorDeadError):
             self.actor_ref.tell(message)
 
     def handle(self, message: Any) -> Any:
-        """Handle one message; subclasses match on its type."""
+        """Handle one message and return the reply; subclasses match on the message type."""
         raise NotImplementedError
 
 
@@ -85,12 +85,12 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Send no more ticks."""
+        """Stop sending ticks and wait for the thread to end."""
         self._stopped.set()
         self._thread.join()
 
     def _run(self) -> None:
-        # A tick that takes longer than the interval delays the next; they never pile up.
+        # `ask` waits for the reply: a slow tick delays the next, and ticks never queue up.
         while not self._stopped.wait(self._interval_s):
             try:
                 self._actor.ask(Tick())
--- a/src/croftpulley/controllers/agreement.py
+++ b/src/croftpulley/controllers/agreement.py
@@ -1,7 +1,7 @@
-"""The agreement controller: makes commands durable and applies them, in one order.
+"""The agreed command log: makes commands durable and applies them to the state in log order.
 
-This is the seam for replication: whatever stands behind `Agreement`, a command has been applied
-only once it is durable, and its result is the one that every control box computes.
+`CommandLog` is the interface to both the local and the replicated log. In either, a command is
+applied only after it is durable, and its result is the same on every control box.
 """
 
 from __future__ import annotations
@@ -24,15 +24,21 @@
 
 
 class Agreement(abc.ABC):
-    """The agreed state and the way to change it."""
+    """A command log and the state that results from applying it."""
 
     @abc.abstractmethod
     def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
-        """Return a future of the command's result; an error means that it may not have counted."""
+        """Append a command; return a future of its result.
+
+        The future raises if the command may not have been applied.
+        """
 
     @abc.abstractmethod
     def read(self) -> agreed.AgreedState:
-        """Return the state as applied; it is not to be changed and may grow while it is read."""
+        """Return the applied state.
+
+        Callers must not modify it; it may change while they read it.
+        """
 
 
 @attrs.frozen
@@ -43,29 +49,29 @@
 
 @attrs.frozen
 class _Flush:
-    """Write what has gathered; sent behind the proposals that it makes durable."""
+    """Writes the pending proposals; queued after the first of them."""
 
 
 class _LogController(actors.Controller):
-    """Gathers proposals that wait and writes them with one sync (group commit)."""
+    """Collects pending proposals and writes them with one sync (group commit)."""
 
     def __init__(self, log: record_log.RecordLog, state: agreed.AgreedState) -> None:
         super().__init__()
         self._log = log
         self._state = state
-        self._waiting: list[_Propose] = []
+        self._pending: list[_Propose] = []
 
     def handle(self, message: object) -> None:
         match message:
             case _Propose():
-                if not self._waiting:
+                if not self._pending:
                     self.actor_ref.tell(_Flush())
-                self._waiting.append(message)
+                self._pending.append(message)
             case _Flush():
                 self._flush()
 
     def _flush(self) -> None:
-        batch, self._waiting = self._waiting, []
+        batch, self._pending = self._pending, []
         try:
             self._log.append([commands.encode(proposal.command) for proposal in batch])
         except OSError:
@@ -86,7 +92,7 @@
 
 
 class SingleLog(Agreement):
-    """Agreement with oneself: one control box, one synced log."""
+    """The log of a fleet with a single control box: one file, synced at each write."""
 
     def __init__(
         self,
@@ -98,25 +104,25 @@
         self._state = agreed.AgreedState()
         for record in replay.payloads:
             self._state.apply(commands.decode(record))
-        self._announce(replay)
+        self._log_replay(replay)
         self._controller = _LogController.start(log, self._state)
 
     def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
-        """Queue the command for the next write."""
+        """Queue a command for the next write; return a future of its result."""
         result: pykka.Future[agreed.Result] = pykka.ThreadingFuture()
         self._controller.tell(_Propose(command, result))
         return result
 
     def read(self) -> agreed.AgreedState:
-        """Return the state as applied."""
+        """Return the applied state."""
         return self._state
 
     def stop(self) -> None:
-        """Write what waits and close the log."""
+        """Write the pending proposals and close the log."""
         self._controller.stop()
 
     @staticmethod
-    def _announce(replay: record_log.Replay) -> None:
+    def _log_replay(replay: record_log.Replay) -> None:
         events.emit(_LOG, events.Event.LOG_REPLAYED, records=len(replay.payloads))
         if replay.cut_bytes:
             events.emit(
--- a/src/croftpulley/controllers/configuration_fetch.py
+++ b/src/croftpulley/controllers/configuration_fetch.py
@@ -1,7 +1,7 @@
-"""A router's side of configurations in parts: one request at a time, each to one control box.
+"""Downloads configurations to a router in parts, with one request at a time to one control box.
 
-The renewal controller calls `ConfigurationFetch.step` between its renewals, so that a lease waits
-for one call at most, whatever the length of the configuration.
+The renewal controller calls `ConfigurationFetch.step` between lease renewals: a renewal is delayed
+by one request at most, whatever the size of the configuration.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Fetched:
-    """The whole text of a version and how long fetching took."""
+    """A complete configuration; ``size_bytes`` is its compressed size."""
 
     version: int
     document: str
@@ -31,96 +31,99 @@
 
 
 class ConfigurationFetch:
-    """Fetches the newest version that this router has heard of."""
+    """Downloads the newest configuration version that this router knows of."""
 
-    def __init__(self, outgoing: links.Links, clock: clocks.Clock, chance: random.Random) -> None:
-        self._outgoing = outgoing
+    def __init__(self, control_links: links.Links, clock: clocks.Clock, rng: random.Random) -> None:
+        self._links = control_links
         self._clock = clock
-        self._chance = chance
-        self._gathering = parts.Gathering()
+        self._rng = rng
+        self._assembler = parts.Gathering()
         self._addresses: tuple[str, ...] = ()
         self._leader_address = ""
         self._sources: list[str] = []
-        self._others_lag = False
-        self._began_s = 0.0
-        self._fails = False
+        self._followers_lag = False
+        self._started_s = 0.0
+        self._is_failing = False
 
     def aim(self, version: int) -> None:
-        """Learn of a version; one that is not newer changes nothing."""
-        if version > self._gathering.version:
-            self._began_s = self._clock.monotonic_s()
-        self._gathering.aim(version)
+        """Set the version to download; ignored unless it is newer than the current one."""
+        if version > self._assembler.version:
+            self._started_s = self._clock.monotonic_s()
+        self._assembler.aim(version)
 
     @property
     def is_incomplete(self) -> bool:
-        """Tell whether anything is missing of the newest version."""
-        return self._gathering.request() is not None
+        """Whether parts of the newest version are missing."""
+        return self._assembler.request() is not None
 
     @property
     def may_step(self) -> bool:
-        """Tell whether there is a part to ask for and a control box not asked in vain yet."""
+        """Whether a part is missing and this round has a control box left to request it from."""
         return self.is_incomplete and bool(self._sources)
 
     def begin_round(self, addresses: tuple[str, ...], leader_address: str) -> None:
-        """Ask each of these control boxes, the leader last, until one has the next part.
+        """Start a round in which each box is tried, the leader last, until one has the next part.
 
-        While others are about to hold the version the leader sends one part a round: guards against
-        all routers taking the whole from it before the next heartbeat (0.1 s) tells the others of a
-        commit. A configuration of one part is whole at once all the same.
+        While followers are about to receive the version, the leader is asked for one part per
+        round. Otherwise all routers would download the whole text from it before the next heartbeat
+        (0.1 s) tells the followers of the commit. A configuration of one part completes in one
+        round all the same.
         """
         self._addresses = addresses
         self._leader_address = leader_address
-        self._others_lag = False
+        self._followers_lag = False
         self._order_sources()
 
     def step(self) -> Fetched | None:
-        """Ask one control box for the next part; return the whole text with the last part."""
-        request = self._gathering.request()
+        """Request the next part from one control box; return the configuration once complete."""
+        request = self._assembler.request()
         if request is None or not self._sources:
             return None
         address = self._sources[0]
         try:
-            packed = self._gathering.take(self._ask(address, request))
+            packed = self._assembler.take(self._request_part(address, request))
         except errors.CroftpulleyError as failure:
-            self._failed(address, request, failure)
+            self._on_failure(address, request, failure)
             self._sources.pop(0)
             return None
         if packed is not None:
-            return self._fetched(packed)
-        if self._gathering.request() == request:
-            # Not held there yet: a follower learns of a commit with the next heartbeat.
+            return self._finish(packed)
+        if self._assembler.request() == request:
+            # That box doesn't have it yet: a follower learns of a commit with the next heartbeat.
             self._sources.pop(0)
-            self._others_lag = True
+            self._followers_lag = True
             return None
-        self._fails = False
+        self._is_failing = False
         if address == self._leader_address:
-            # The others may hold it by now; what the leader sends delays its heartbeats.
+            # Followers may have it by now, and sending parts delays the heartbeats of the leader.
             self._order_sources()
-            if self._others_lag:
+            if self._followers_lag:
                 self._sources.remove(address)
         return None
 
     def _order_sources(self) -> None:
-        ordered = parts.sources(self._addresses, self._leader_address, self._chance)
+        ordered = parts.sources(self._addresses, self._leader_address, self._rng)
         self._sources = list(ordered)
 
-    def _ask(self, address: str, request: parts.ConfigurationRequest) -> parts.ConfigurationPart:
-        body = self._outgoing.to(address).post(
+    def _request_part(
+        self, address: str, request: parts.ConfigurationRequest
+    ) -> parts.ConfigurationPart:
+        body = self._links.to(address).post(
             box_messages.CONFIGURATION_PARTS_PATH, json_codec.encode(request)
         )
         return json_codec.decode(body, parts.ConfigurationPart)
 
-    def _fetched(self, packed: bytes) -> Fetched:
-        self._fails = False
-        took_s = self._clock.monotonic_s() - self._began_s
+    def _finish(self, packed: bytes) -> Fetched:
+        self._is_failing = False
+        took_s = self._clock.monotonic_s() - self._started_s
         document = packing.unpack(packed)
-        return Fetched(self._gathering.version, document, len(packed), took_s)
+        return Fetched(self._assembler.version, document, len(packed), took_s)
 
-    def _failed(
+    def _on_failure(
         self, address: str, request: parts.ConfigurationRequest, failure: errors.CroftpulleyError
     ) -> None:
-        """Log the first failure of a row."""
-        if not self._fails:
+        """Log the first of consecutive failures."""
+        if not self._is_failing:
             events.emit(
                 _LOG,
                 events.Event.CONFIGURATION_PART_FAILED,
@@ -130,4 +133,4 @@
                 offset=request.offset,
                 problem=str(failure),
             )
-        self._fails = True
+        self._is_failing = True
--- a/src/croftpulley/controllers/configuration_parts.py
+++ b/src/croftpulley/controllers/configuration_parts.py
@@ -1,4 +1,4 @@
-"""A control box's side of configurations in parts: any box that holds a version serves it."""
+"""Serves configurations in parts; any control box that has a version can serve it."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class ConfigurationParts:
-    """Answers requests for parts of what is committed and applied here, from any thread.
+    """Answers requests for parts of the configuration applied on this box; thread-safe.
 
-    The lock guards against packing a version once for each router that asks at the same moment.
+    The lock ensures that a version is compressed once, not once per concurrent request.
     """
 
     def __init__(self, log: agreement.Agreement) -> None:
-        self._log = log
-        self._lock = threading.Lock()
+        self._command_log = log
+        self._pack_lock = threading.Lock()
         self._packed: parts.Packed | None = None
 
     def answer(self, request: parts.ConfigurationRequest) -> parts.ConfigurationPart:
-        """Return the part; raises `errors.CroftpulleyError` (BAD_REQUEST)."""
-        return self._packed_of(self._log.read().submissions.held).part(request)
+        """Return the requested part; raises `errors.CroftpulleyError` (BAD_REQUEST)."""
+        return self._pack(self._command_log.read().submissions.held).part(request)
 
-    def _packed_of(self, held: submissions.Held) -> parts.Packed:
-        with self._lock:
+    def _pack(self, held: submissions.Held) -> parts.Packed:
+        with self._pack_lock:
             if self._packed is None or self._packed.version != held.version:
                 self._packed = parts.Packed.of(held.version, packing.pack(held.document_json))
             return self._packed
--- a/src/croftpulley/controllers/control_plane.py
+++ b/src/croftpulley/controllers/control_plane.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a control box, whatever the calls are named outside."""
+"""The operations that a control box offers to operators, independent of the outer API."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 _Value = TypeVar("_Value")
 _ASK_TIMEOUT_S = 1.0
 AUTHORITY_WAIT_S = 0.3
-"""A leader whose followers answer late has its authority again with the next heartbeat, each 0.1 s,
-or another box leads soon. An operator that is sent away pauses longer than this, and longer each
-time."""
+"""Limit on how long a call waits for authority. A leader whose followers answer late regains it
+with the next heartbeat (every 0.1 s), or another box soon becomes leader. A redirected operator
+backs off for longer than this, and longer with each attempt."""
 
 
 class NotLeaderError(errors.CroftpulleyError):
-    """Another box leads; ``leader_address`` is where other boxes reach it, empty if unknown."""
+    """This box may not answer; ``leader_address`` is the leader's peer address, if known."""
 
     def __init__(self, leader_address: str) -> None:
         super().__init__(codes.ResultCode.NOT_LEADER)
@@ -43,15 +43,15 @@
 
 
 class ControlPlane:
-    """What operators order and read, answered by the leading box alone.
+    """Operators' commands and queries, answered only by the leader.
 
-    ``hall_names`` are the halls that may be evacuated; empty, any name may be.
+    ``hall_names`` are the halls that may be evacuated; if empty, any valid name is accepted.
     """
 
     def __init__(
         self,
         log: agreement.Agreement,
-        standing: actors.View[replica_standing.Standing],
+        replica_status: actors.View[replica_standing.Standing],
         session_controller: pykka.ActorRef[Any],
         register: suspect_register.SuspectRegister,
         document_format: formats.DocumentFormat,
@@ -59,71 +59,75 @@
         acknowledge_s: float,
         clock: clocks.Clock,
     ) -> None:
-        self._agreement = log
+        self._command_log = log
         self._hall_names = hall_names
-        self._standing = standing
+        self._replica_status = replica_status
         self._sessions = session_controller
-        self._register = register
-        self._format = document_format
+        self._suspect_register = register
+        self._document_format = document_format
         self._acknowledge_s = acknowledge_s
         self._clock = clock
 
     def submit(self, number: int, document_json: str) -> int:
         """Commit a configuration and return its version once it is in force on every box.
 
-        One whose number is not above the newest changes nothing; the newest's version is returned
-        once that is in force. Raises CONFIGURATION_INVALID, `NotLeaderError`, NOT_LEADER with an
-        unknown run state, or NOT_IN_FORCE: then it may be in force later.
+        If ``number`` is not greater than the newest version, nothing changes, and the newest
+        version is returned once it is in force. Raises CONFIGURATION_INVALID, `NotLeaderError`,
+        NOT_LEADER with an unknown run state, or NOT_IN_FORCE if it may still come into force later.
         """
-        ends_at_s = self._clock.monotonic_s() + self._acknowledge_s
-        # A box that only sends the operator on need not read the document: 50 ms for 2,800 routes.
-        self._await_authority()
+        deadline_s = self._clock.monotonic_s() + self._acknowledge_s
+        # Checked first so that a box that only redirects skips parsing (50 ms for 2,800 routes).
+        self._wait_for_authority()
         self._require_authority()
         try:
-            self._format.parse(document_json)
+            self._document_format.parse(document_json)
         except errors.CroftpulleyError as failure:
-            self._log(events.Event.CONFIGURATION_REFUSED, number, problem=failure.detail)
+            self._emit(events.Event.CONFIGURATION_REFUSED, number, problem=failure.detail)
             raise
         self._require_authority()
-        version = self._agreement.read().submissions.held.version
+        version = self._command_log.read().submissions.held.version
         if number > version:
-            version = self._commit(number, document_json, ends_at_s)
-        self._wait_in_force(box_sessions.Known(configuration_version=version), ends_at_s)
-        self._log(events.Event.CONFIGURATION_IN_FORCE, number, configuration_version=version)
+            version = self._commit(number, document_json, deadline_s)
+        self._wait_in_force(box_sessions.Known(configuration_version=version), deadline_s)
+        self._emit(events.Event.CONFIGURATION_IN_FORCE, number, configuration_version=version)
         return version
 
-    def _commit(self, number: int, document_json: str, ends_at_s: float) -> int:
+    def _commit(self, number: int, document_json: str, deadline_s: float) -> int:
+        """Commit a configuration and return the resulting version, which may be a newer one."""
         command = agreed.SubmitConfiguration(submissions.Submission("", number, document_json))
-        answer = self._wait(self._agreement.propose(command), ends_at_s)
+        answer = self._get_result(self._command_log.propose(command), deadline_s)
         if not isinstance(answer, submissions.SubmissionAnswer):
-            raise TypeError(f"got {answer!r} for a submission")
+            raise TypeError(f"unexpected result of a configuration submission: {answer!r}")
         version = answer.winner.version
-        self._log(events.Event.CONFIGURATION_COMMITTED, number, configuration_version=version)
+        self._emit(events.Event.CONFIGURATION_COMMITTED, number, configuration_version=version)
         return version
 
     def evacuate(self, hall: str) -> halls.Evacuated:
-        """Commit that a hall's endpoints get no requests; return once no box sends there.
+        """Commit that a hall's endpoints get no requests; return once no box sends any there.
 
-        What was ordered before is told again. Raises HALL_UNKNOWN, `NotLeaderError`, NOT_LEADER
-        with an unknown run state, or NOT_IN_FORCE: then it may be in force later.
+        Idempotent: a repeated call returns the same result. Raises HALL_UNKNOWN, `NotLeaderError`,
+        NOT_LEADER with an unknown run state, or NOT_IN_FORCE if it may still come into force later.
         """
-        return self._order(agreed.EvacuateHall(hall))
+        return self._commit_hall_command(agreed.EvacuateHall(hall))
 
     def return_hall(self, hall: str) -> halls.Evacuated:
         """Commit that a hall's endpoints get requests again; raises as `evacuate` does."""
-        return self._order(agreed.ReturnHall(hall))
-
-    def _order(self, command: agreed.EvacuateHall | agreed.ReturnHall) -> halls.Evacuated:
-        began_s = self._clock.monotonic_s()
-        ends_at_s = began_s + self._acknowledge_s
-        self._await_authority()
+        return self._commit_hall_command(agreed.ReturnHall(hall))
+
+    def _commit_hall_command(
+        self, command: agreed.EvacuateHall | agreed.ReturnHall
+    ) -> halls.Evacuated:
+        started_s = self._clock.monotonic_s()
+        deadline_s = started_s + self._acknowledge_s
+        self._wait_for_authority()
         self._require_authority()
         self._check_hall(command.hall)
-        # In the log even where it changes nothing here: only its order there decides what holds.
-        evacuated = self._wait(self._agreement.propose(command), ends_at_s)
+        # Append it even if it changes nothing in the state applied here: only the order of the
+        # commands in the log decides the outcome.
+        evacuated = self._get_result(self._command_log.propose(command), deadline_s)
         if not isinstance(evacuated, halls.Evacuated):
-            raise TypeError(f"got {evacuated!r} for an order about a hall")
-        self._wait_in_force(box_sessions.Known(halls_revision=evacuated.revision), ends_at_s)
+            raise TypeError(f"unexpected result of a hall command: {evacuated!r}")
+        self._wait_in_force(box_sessions.Known(halls_revision=evacuated.revision), deadline_s)
         events.emit(
             _LOG,
             events.Event.HALLS_IN_FORCE,
@@ -131,13 +135,14 @@
             evacuate=isinstance(command, agreed.EvacuateHall),
             evacuated=list(evacuated.names),
             halls_revision=evacuated.revision,
-            took_s=round(self._clock.monotonic_s() - began_s, 3),
-            term=self._standing.get().term,
+            took_s=round(self._clock.monotonic_s() - started_s, 3),
+            term=self._replica_status.get().term,
         )
         return evacuated
 
     def _check_hall(self, hall: str) -> None:
-        is_known = hall in self._hall_names if self._hall_names else _is_name(hall)
+        """Raise HALL_UNKNOWN unless the hall may be evacuated."""
+        is_known = hall in self._hall_names if self._hall_names else _is_valid_hall_name(hall)
         if not is_known:
             known = ", ".join(sorted(self._hall_names)) or f"1 to {halls.LONGEST_NAME} characters"
             raise errors.CroftpulleyError(
@@ -145,23 +150,25 @@
             )
 
     def halls(self) -> halls.Evacuated:
-        """Return the halls that are evacuated; raises `NotLeaderError`."""
-        return self._read(lambda: self._agreement.read().evacuated)
+        """Return the evacuated halls; raises `NotLeaderError`."""
+        return self._read_with_authority(lambda: self._command_log.read().evacuated)
 
     @property
     def hall_names(self) -> frozenset[str]:
-        """The halls that may be evacuated; empty if the settings name none."""
+        """The halls that may be evacuated; empty if the settings list none."""
         return self._hall_names
 
-    def _wait_in_force(self, wanted: box_sessions.Known, ends_at_s: float) -> None:
+    def _wait_in_force(self, target: box_sessions.Known, deadline_s: float) -> None:
+        """Wait until ``target`` is in force; raises NOT_LEADER, or NOT_IN_FORCE if too late."""
         done: pykka.Future[bool] = pykka.ThreadingFuture()
-        self._sessions.tell(in_force.WhenInForce(wanted, done))
-        self._wait(done, ends_at_s)
+        self._sessions.tell(in_force.WhenInForce(target, done))
+        self._get_result(done, deadline_s)
 
-    def _wait(self, future: pykka.Future[Any], ends_at_s: float) -> Any:
-        left_s = max(0.0, ends_at_s - self._clock.monotonic_s())
+    def _get_result(self, future: pykka.Future[Any], deadline_s: float) -> Any:
+        """Return the future's result or raise its error; raises NOT_IN_FORCE at the deadline."""
+        remaining_s = max(0.0, deadline_s - self._clock.monotonic_s())
         try:
-            return future.get(timeout=left_s)
+            return future.get(timeout=remaining_s)
         except pykka.Timeout as failure:
             raise errors.CroftpulleyError(
                 codes.ResultCode.NOT_IN_FORCE, run_state=codes.RunState.UNKNOWN
@@ -169,16 +176,16 @@
 
     def read(self) -> submissions.Held:
         """Return the newest committed configuration; raises `NotLeaderError`."""
-        return self._read(lambda: self._agreement.read().submissions.held)
+        return self._read_with_authority(lambda: self._command_log.read().submissions.held)
 
-    def _read(self, read: Callable[[], _Value]) -> _Value:
-        """Return what ``read`` does, if this box alone may answer for it.
+    def _read_with_authority(self, read: Callable[[], _Value]) -> _Value:
+        """Return the result of ``read`` if this box has authority; raises `NotLeaderError`.
 
-        Its authority is looked at before and after, under one term: then all that was committed
-        before had been applied, and what was read is no older than what this moment allows. A box
-        that comes to lead in between may have read nothing yet.
+        Authority is checked before and after, in the same term: only then had everything committed
+        before the first check been applied, so that the result isn't stale. A box that becomes
+        leader in between may have read a state to which nothing had been applied yet.
         """
-        self._await_authority()
+        self._wait_for_authority()
         term = self._require_authority()
         value = read()
         if self._require_authority() != term:
@@ -186,64 +193,67 @@
         return value
 
     def status(self) -> dict[str, Any]:
-        """Return who leads, the replicas, the boxes and who is waited for."""
-        standing = self._standing.get()
+        """Return the leader, the replicas, the boxes and which boxes a change still waits for."""
+        replica_status = self._replica_status.get()
         answer: Any = self._sessions.ask(sessions.Status(), timeout=_ASK_TIMEOUT_S)
         return {
-            "role": standing.role.value,
-            "term": standing.term,
-            "leader_address": standing.leader_address,
-            "members": [attrs.asdict(member) for member in standing.members.members],
-            "configuration_version": self._agreement.read().submissions.held.version,
-            "evacuated": list(self._agreement.read().evacuated.names),
+            "role": replica_status.role.value,
+            "term": replica_status.term,
+            "leader_address": replica_status.leader_address,
+            "members": [attrs.asdict(member) for member in replica_status.members.members],
+            "configuration_version": self._command_log.read().submissions.held.version,
+            "evacuated": list(self._command_log.read().evacuated.names),
             "boxes": [attrs.asdict(box) for box in answer.boxes],
             "waiting_for": list(answer.waiting_for),
         }
 
     def endpoints(self) -> tuple[sessions.EndpointStatus, ...]:
-        """Return what all boxes know of each endpoint; raises `NotLeaderError`."""
+        """Return the status of each endpoint as reported by all boxes; raises `NotLeaderError`."""
 
         def read() -> tuple[sessions.EndpointStatus, ...]:
             answer: Any = self._sessions.ask(sessions.EndpointsStatus(), timeout=_ASK_TIMEOUT_S)
             return tuple(answer)
 
-        return self._read(read)
+        return self._read_with_authority(read)
 
     def suspects(self) -> tuple[suspect_rules.Suspect, ...]:
-        """Return the requests under which endpoints ended; raises `NotLeaderError`."""
-        return self._read(self._register.all)
+        """Return the requests that are suspected of crashing endpoints; raises `NotLeaderError`."""
+        return self._read_with_authority(self._suspect_register.all)
 
     def clear_suspect(self, fingerprint: str) -> None:
-        """Have a request served again; raises NOT_FOUND, `NotLeaderError` or NOT_LEADER."""
-        self._await_authority()
+        """Clear the suspicion of a request, so that it is served again.
+
+        Raises NOT_FOUND, `NotLeaderError` or NOT_LEADER.
+        """
+        self._wait_for_authority()
         self._require_authority()
-        if fingerprint not in {each.fingerprint for each in self._register.all()}:
+        if fingerprint not in {each.fingerprint for each in self._suspect_register.all()}:
             raise errors.CroftpulleyError(
                 codes.ResultCode.NOT_FOUND, f"no endpoints ended under request {fingerprint!r}"
             )
-        self._register.clear(fingerprint)
+        self._suspect_register.clear(fingerprint)
 
-    def _await_authority(self) -> None:
-        """Wait a moment for authority, or for another leader to be known."""
-        self._standing.wait_for(self._is_clear, AUTHORITY_WAIT_S)
+    def _wait_for_authority(self) -> None:
+        """Wait up to AUTHORITY_WAIT_S until this box has authority or another leader is known."""
+        self._replica_status.wait_for(self._is_leader_known, AUTHORITY_WAIT_S)
 
     def _require_authority(self) -> int:
-        """Return the term in which this box alone may answer now; raises `NotLeaderError`."""
-        standing = self._standing.get()
-        if not standing.leads(self._clock.monotonic_s()):
-            led_elsewhere = standing.role.value != "leader"
-            raise NotLeaderError(standing.leader_address if led_elsewhere else "")
-        return standing.term
+        """Return the current term if this box has authority; raises `NotLeaderError` otherwise."""
+        status = self._replica_status.get()
+        if not status.leads(self._clock.monotonic_s()):
+            is_led_elsewhere = status.role.value != "leader"
+            raise NotLeaderError(status.leader_address if is_led_elsewhere else "")
+        return status.term
 
-    def _is_clear(self, standing: replica_standing.Standing) -> bool:
-        """Tell whether this box may answer, or another leads that can be named."""
-        is_led_elsewhere = standing.role is not states.Role.LEADER and standing.leader_address
-        return standing.leads(self._clock.monotonic_s()) or bool(is_led_elsewhere)
+    def _is_leader_known(self, status: replica_standing.Standing) -> bool:
+        """Return whether this box has authority or knows the address of another leader."""
+        is_led_elsewhere = status.role is not states.Role.LEADER and status.leader_address
+        return status.leads(self._clock.monotonic_s()) or bool(is_led_elsewhere)
 
-    def _log(self, event: events.Event, number: int, **fields: Any) -> None:
-        events.emit(_LOG, event, number=number, term=self._standing.get().term, **fields)
+    def _emit(self, event: events.Event, number: int, **fields: Any) -> None:
+        events.emit(_LOG, event, number=number, term=self._replica_status.get().term, **fields)
 
 
-def _is_name(hall: str) -> bool:
-    """Tell whether a text may name a hall where the settings do not say which there are."""
+def _is_valid_hall_name(hall: str) -> bool:
+    """Return whether a text is a valid hall name, for settings that list no halls."""
     return 0 < len(hall) <= halls.LONGEST_NAME and hall.isprintable() and "/" not in hall
--- a/src/croftpulley/controllers/directory.py
+++ b/src/croftpulley/controllers/directory.py
@@ -1,4 +1,4 @@
-"""The directory controller of a control box: leases, who is live, and who owns which engine."""
+"""The directory controller of a control box: leases, live boxes and the owners of engines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class BoxReport:
-    """What a box last told at a renewal."""
+    """The latest report of a box, sent with its lease renewal."""
 
     draining: bool
     configuration_version: int
@@ -29,37 +29,37 @@
 
 @attrs.frozen
 class WaitingFor:
-    """Asks which live boxes do not use ``version`` yet."""
+    """Requests the names of live boxes that do not use configuration ``version`` yet."""
 
     version: int
 
 
 @attrs.frozen
 class Status:
-    """Asks for the directory and the reports."""
+    """Requests a `StatusAnswer`."""
 
 
 @attrs.frozen
 class StatusAnswer:
-    """What the directory controller knows."""
+    """The directory, and the configuration version that each box last reported."""
 
     directory: membership.Directory
     configuration_versions: dict[str, int]
 
 
 class DirectoryController(actors.Controller):
-    """Grants leases, keeps the directory and moves engines to new owners."""
+    """Grants leases, maintains the directory and assigns engines to boxes."""
 
     def __init__(
         self,
-        agreed_state: agreement.Agreement,
+        log: agreement.Agreement,
         lease_s: float,
         drift_margin_s: float,
         claim_window_s: float,
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
-        self._agreement = agreed_state
+        self._command_log = log
         self._lease_s = lease_s
         self._claim_window_s = claim_window_s
         self._clock = clock
@@ -67,13 +67,13 @@
         self._reports: dict[str, BoxReport] = {}
         self._totals = pool_totals.PoolTotals()
         self._engines: dict[str, membership.Endpoint] = {}
-        # Begins anew with each start, above any version of an earlier start.
+        # Versions are not stored; starting from the wall clock keeps them above earlier runs.
         self._directory = membership.Directory(version=int(clock.wall_s() * 1000) << 16)
-        for box in agreed_state.read().boxes:
+        for box in log.read().boxes:
             self._leases.assume(box, clock.monotonic_s())
 
     def handle(self, message: object) -> object:
-        """Renew, tick, or answer what is asked."""
+        """Handle a renewal, a tick or a query; raises `TypeError` for any other message."""
         match message:
             case messages.Renewal():
                 return self._renew(message)
@@ -81,27 +81,28 @@
                 self._tick()
                 return None
             case WaitingFor(version):
-                return self._waiting_for(version)
+                return self._lagging_boxes(version)
             case Status():
                 versions = {
                     name: report.configuration_version for name, report in self._reports.items()
                 }
                 return StatusAnswer(self._directory, versions)
-        raise TypeError(f"got a message of no known type: {message!r}")
+        raise TypeError(f"unknown message type: {message!r}")
 
     def _renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
-        state = self._agreement.read()
+        state = self._command_log.read()
         if state.boxes.get(renewal.box.name) != renewal.box:
             self._commit(agreed.RegisterBox(renewal.box))
         self._leases.renew(renewal.box.name, self._clock.monotonic_s())
-        if self._take_report(renewal):
-            self._place()
+        if self._store_report(renewal):
+            self._assign_engines()
         return self._answer(renewal)
 
-    def _take_report(self, renewal: messages.Renewal) -> bool:
-        """Keep the report; return whether it asks for a look at who owns what.
+    def _store_report(self, renewal: messages.Renewal) -> bool:
+        """Store a box's report; return whether engines must be reassigned because of it.
 
-        Most renewals do not, and that look costs as much as there are boxes and engines.
+        Most renewals change nothing, and the cost of `_assign_engines` grows with the number of
+        boxes and engines.
         """
         known = self._reports.get(renewal.box.name)
         engines = renewal.engines
@@ -123,7 +124,7 @@
         )
 
     def _answer(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
-        held = self._agreement.read().submissions.held
+        held = self._command_log.read().submissions.held
         stale = renewal.configuration_version < held.version
         same_directory = renewal.directory_version == self._directory.version
         return messages.RenewalAnswer(
@@ -141,26 +142,28 @@
             self._reports.pop(box, None)
             self._totals.replace(box, ())
             self._commit(agreed.ForgetBox(box))
-        self._drop_old_claims()
-        self._place()
+        self._drop_expired_claims()
+        self._assign_engines()
 
-    def _drop_old_claims(self) -> None:
+    def _drop_expired_claims(self) -> None:
         before_wall_s = self._clock.wall_s() - self._claim_window_s
-        oldest = self._agreement.read().claims.oldest_at_wall_s()
+        oldest = self._command_log.read().claims.oldest_at_wall_s()
         if oldest is not None and oldest < before_wall_s:
             self._commit(agreed.DropClaims(before_wall_s))
 
-    def _place(self) -> None:
+    def _assign_engines(self) -> None:
         self._engines = self._listed_engines()
-        state = self._agreement.read()
-        usable = tuple(engine.name for engine in self._engines.values() if not engine.leaving)
-        takers = tuple(
+        state = self._command_log.read()
+        assignable = tuple(engine.name for engine in self._engines.values() if not engine.leaving)
+        eligible_boxes = tuple(
             box.name
             for box in state.boxes.values()
             if box.name in self._reports and not box.draining
         )
         owners = {engine: owner.box for engine, owner in state.owners.items()}
-        for grant in placement.grants(usable, takers, owners, self._free_engines(state)):
+        for grant in placement.grants(
+            assignable, eligible_boxes, owners, self._reassignable_engines(state)
+        ):
             self._commit(agreed.GrantOwnership(grant.engine, grant.box))
             events.emit(
                 _LOG,
@@ -170,7 +173,10 @@
         self._publish(state)
 
     def _listed_engines(self) -> dict[str, membership.Endpoint]:
-        """Merge the boxes' lists: leaving wins, since a box that lags does not know of it yet."""
+        """Merge the engine lists of all boxes.
+
+        An engine is leaving if any box reports so, since lagging boxes don't know of it yet.
+        """
         merged: dict[str, membership.Endpoint] = {}
         for name in sorted(self._reports):
             for engine in self._reports[name].engines:
@@ -179,16 +185,16 @@
                     merged[engine.name] = engine
         return merged
 
-    def _free_engines(self, state: agreed.AgreedState) -> frozenset[str]:
-        """Return engines whose owner gave them up or whose owner's lease has ended."""
+    def _reassignable_engines(self, state: agreed.AgreedState) -> frozenset[str]:
+        """Return the engines that their owner released or whose owner has no valid lease."""
         now_s = self._clock.monotonic_s()
-        free = set()
+        reassignable = set()
         for engine, owner in state.owners.items():
             report = self._reports.get(owner.box)
             given_up = report is not None and owner in report.released
             if given_up or not self._leases.live(owner.box, now_s):
-                free.add(engine)
-        return frozenset(free)
+                reassignable.add(engine)
+        return frozenset(reassignable)
 
     def _publish(self, state: agreed.AgreedState) -> None:
         boxes = [box for name, box in sorted(state.boxes.items()) if name in self._reports]
@@ -204,15 +210,18 @@
         if changed != self._directory:
             self._directory = attrs.evolve(changed, version=changed.version + 1)
 
-    def _waiting_for(self, version: int) -> tuple[str, ...]:
-        """Return boxes that may serve and do not use ``version``: also those not heard since."""
+    def _lagging_boxes(self, version: int) -> tuple[str, ...]:
+        """Return the boxes with a lease that do not use ``version`` yet.
+
+        A box that has not reported since this controller started counts as lagging.
+        """
         now_s = self._clock.monotonic_s()
         return tuple(
             name
-            for name in sorted(self._agreement.read().boxes)
+            for name in sorted(self._command_log.read().boxes)
             if self._leases.live(name, now_s)
             and (name not in self._reports or self._reports[name].configuration_version < version)
         )
 
     def _commit(self, command: agreed.Command) -> agreed.Result:
-        return self._agreement.propose(command).get(timeout=_COMMIT_TIMEOUT_S)
+        return self._command_log.propose(command).get(timeout=_COMMIT_TIMEOUT_S)
--- a/src/croftpulley/controllers/in_force.py
+++ b/src/croftpulley/controllers/in_force.py
@@ -1,4 +1,4 @@
-"""Who waits for something to be in force at every box that holds a lease."""
+"""Callers that wait until a change is in force, that is, in use on every box with a lease."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 @attrs.frozen
 class WhenInForce:
-    """Asks for a future to be set once ``wanted`` is in force at every box with a lease."""
+    """Requests that ``done`` is set once ``target`` is in force on every box with a lease."""
 
-    wanted: sessions.Known
+    target: sessions.Known
     done: pykka.Future[bool]
 
 
 class Waiting:
-    """Those who wait at one leader; used by one thread."""
+    """The pending requests at one leader; not thread-safe."""
 
     def __init__(self) -> None:
         self._waiting: list[WhenInForce] = []
 
     def add(self, message: WhenInForce) -> None:
-        """Have one more wait."""
+        """Add a pending request."""
         self._waiting.append(message)
 
     def settle(self, is_in_force: Callable[[sessions.Known], bool]) -> None:
-        """Answer those whose wish is in force now."""
+        """Set the futures of the requests whose target is in force now."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
-            if is_in_force(each.wanted):
+            if is_in_force(each.target):
                 each.done.set(True)
             else:
                 self._waiting.append(each)
 
     def refuse(self) -> None:
-        """Tell all that another box leads."""
+        """Fail all pending requests with NOT_LEADER."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
             failure = errors.CroftpulleyError(codes.ResultCode.NOT_LEADER)
--- a/src/croftpulley/controllers/joining.py
+++ b/src/croftpulley/controllers/joining.py
@@ -1,4 +1,4 @@
-"""When a replica asks to be taken in, and whom: at its first start, or once it lost the others."""
+"""When and where a replica sends join requests: at its first start, or once it is isolated."""
 
 from __future__ import annotations
 
@@ -7,38 +7,39 @@
 
 import attrs
 
-_INTERVAL_S = 0.3
+_RETRY_INTERVAL_S = 0.3
 LOST_AFTER_S = 2.0
-"""A replica that has heard no other for so long asks at the addresses that its settings name:
-those in its log may all have been exchanged. Elections settle within a second."""
+"""A replica that has heard from no other for this long sends join requests to the addresses in its
+settings, since all those in its log may have been replaced. Elections finish within a second."""
 
 
 @attrs.define
-class Joining:
-    """Asks of one replica at ``own_address``; ``known`` are addresses from its settings."""
+class JoinSchedule:
+    """Schedules the join requests of the replica at ``own_address``."""
 
     own_address: str
-    known: Sequence[str]
-    heard_at_s: float
-    """When it last heard another replica."""
-    _ask_at_s: float = float("-inf")
-    _leader_address: str = ""
+    seed_addresses: Sequence[str]
+    """From the settings; may include the own address."""
+    last_contact_s: float
+    """When a message of another replica last arrived."""
+    _next_attempt_s: float = float("-inf")
+    _leader_hint: str = ""
 
-    def next_address(self, now_s: float, chance: random.Random, *, must_join: bool) -> str:
-        """Return whom to ask now, empty if nobody.
+    def next_address(self, now_s: float, rng: random.Random, *, must_join: bool) -> str:
+        """Return the address to send a join request to now, empty if none is due.
 
-        That is the leader where a box that was asked has told it, else any known one.
+        That is the leader if a box has named it in its last reply, else a random seed address.
         """
-        is_lost = now_s - self.heard_at_s > LOST_AFTER_S
-        if now_s < self._ask_at_s or not (must_join or is_lost):
+        is_isolated = now_s - self.last_contact_s > LOST_AFTER_S
+        if now_s < self._next_attempt_s or not (must_join or is_isolated):
             return ""
-        self._ask_at_s = now_s + _INTERVAL_S
-        others = [each for each in self.known if each != self.own_address]
-        address = self._leader_address or (chance.choice(others) if others else "")
-        self._leader_address = ""
+        self._next_attempt_s = now_s + _RETRY_INTERVAL_S
+        others = [each for each in self.seed_addresses if each != self.own_address]
+        address = self._leader_hint or (rng.choice(others) if others else "")
+        self._leader_hint = ""
         return address
 
-    def told_leader(self, address: str) -> None:
-        """Take what a box that was asked has said of the leader."""
+    def set_leader_hint(self, address: str) -> None:
+        """Send the next request to the leader that a box named; ignored if it is this replica."""
         if address != self.own_address:
-            self._leader_address = address
+            self._leader_hint = address
--- a/src/croftpulley/controllers/proposals.py
+++ b/src/croftpulley/controllers/proposals.py
@@ -1,4 +1,4 @@
-"""Commands on their way into the replicated log, and who waits for what comes of them."""
+"""Proposed commands that are not committed yet, and the futures of their results."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @attrs.frozen
-class Propose:
-    """A command to commit; the future gets its result."""
+class Proposal:
+    """A command to commit, and the future that receives its result."""
 
     command: agreed.Command
     result: pykka.Future[agreed.Result]
@@ -21,54 +21,55 @@
     def fail(
         self, run_state: codes.RunState, code: codes.ResultCode = codes.ResultCode.NOT_LEADER
     ) -> None:
-        """Have the future raise, saying whether the command may still take effect."""
+        """Make the future raise; ``run_state`` says whether the command may still be applied."""
         failure = errors.CroftpulleyError(code, run_state=run_state)
         self.result.set_exception((type(failure), failure, None))
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingProposal:
     term: int
-    proposal: Propose
+    proposal: Proposal
 
 
 @attrs.define
-class Proposals:
-    """Those that gather for the next write, and those in the log that are not committed yet."""
+class ProposalTracker:
+    """Proposals queued for the next batch, and those in the log that are not committed yet."""
 
-    _gathered: list[Propose] = attrs.field(factory=list)
-    _pending: dict[int, _Waiting] = attrs.field(factory=dict)
+    _queued: list[Proposal] = attrs.field(factory=list)
+    _pending: dict[int, _PendingProposal] = attrs.field(factory=dict)
 
-    def gather(self, proposal: Propose) -> bool:
-        """Add a proposal to the next batch; tell whether it is the first of it."""
-        self._gathered.append(proposal)
-        return len(self._gathered) == 1
+    def enqueue(self, proposal: Proposal) -> bool:
+        """Add a proposal to the next batch; return whether it is the first in the batch."""
+        self._queued.append(proposal)
+        return len(self._queued) == 1
 
-    def take_batch(self) -> list[Propose]:
-        """Return what has gathered, and begin another batch."""
-        batch, self._gathered = self._gathered, []
+    def take_batch(self) -> list[Proposal]:
+        """Return the queued proposals and start a new batch."""
+        batch, self._queued = self._queued, []
         return batch
 
-    def proposed(self, term: int, indexes: Sequence[int], batch: Sequence[Propose]) -> None:
-        """Note where in the log the proposals of a batch stand."""
+    def mark_appended(self, term: int, indexes: Sequence[int], batch: Sequence[Proposal]) -> None:
+        """Record the log indexes of the proposals of a batch, which were appended in ``term``."""
         for index, proposal in zip(indexes, batch, strict=True):
-            self._pending[index] = _Waiting(term, proposal)
+            self._pending[index] = _PendingProposal(term, proposal)
 
-    def take(self, index: int, term: int) -> Propose | None:
-        """Return the proposal that the entry committed at an index is; ``None`` for another's.
+    def pop_committed(self, index: int, term: int) -> Proposal | None:
+        """Remove and return the proposal committed at ``index``; ``None`` if not proposed here.
 
-        One of an earlier term that stood there has been replaced, and will never be committed.
+        A proposal of another term at that index was overwritten and can't be committed any more;
+        its future fails with NOT_RUN.
         """
-        waiting = self._pending.pop(index, None)
-        if waiting is None:
+        pending = self._pending.pop(index, None)
+        if pending is None:
             return None
-        if waiting.term != term:
-            waiting.proposal.fail(codes.RunState.NOT_RUN)
+        if pending.term != term:
+            pending.proposal.fail(codes.RunState.NOT_RUN)
             return None
-        return waiting.proposal
+        return pending.proposal
 
     def fail_pending(self) -> None:
-        """Nobody knows whether these will be committed by another leader."""
+        """Fail the appended proposals with run state UNKNOWN: another leader may commit them."""
         pending, self._pending = self._pending, {}
         for each in pending.values():
             each.proposal.fail(codes.RunState.UNKNOWN)
--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -1,7 +1,7 @@
-"""The replica controller of a control box: drives one replica of the log with disk and network.
+"""The replica controller of a control box: does disk and network I/O for one replica of the log.
 
-It is the only thread that touches the replica and the store. Whatever waits for the disk waits
-here, so a box whose disk stalls falls silent and another one leads.
+Its thread is the only one that uses the replica and the store. It blocks on disk writes: a box
+whose disk stalls stops sending heartbeats, and another box is elected leader.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
 JOIN_PATH = "/v1/replica/joins"
 SNAPSHOT_AFTER_ENTRIES = 128
 SNAPSHOT_AFTER_BYTES = 2 * 1024 * 1024
-"""A log file is written anew when more than either was added since it was begun, or as much as it
-began with if that is more: restarts stay short and a small disk has room for it."""
-LOGGED_SIZE_BYTES = long_texts.PART_LENGTH
-"""A request this large that gets no answer is logged each time: its size may be why. Only one that
-carries a whole part of a long text is."""
+"""The log file is compacted when more than either was added since the last compaction, or as much
+as the compacted file held if that is more. This keeps restarts short and fits on a small disk."""
+LARGE_REQUEST_BYTES = long_texts.PART_LENGTH
+"""Every unanswered request of at least this size is logged, since its size may be the cause. Only
+requests that carry a whole part of a long text are this large."""
 _DISK_RETRY_S = 0.3
 
 
 @attrs.frozen(kw_only=True)
 class Identity:
-    """Who this replica is, and where it finds others at its first start.
+    """The replica's id and address, and the addresses that it contacts to join the others.
 
-    ``first_members`` are the members of a fleet that starts for the first time; empty otherwise.
+    ``first_members`` are the initial members at the first start of a fleet; empty otherwise.
     """
 
     replica: str
@@ -53,38 +53,38 @@
 
 @attrs.frozen
 class Receive:
-    """A request of another replica."""
+    """A request from another replica; the reply is its answer, or ``None`` if there is none."""
 
     request: messages.Request
 
 
 @attrs.frozen
 class Join:
-    """A replica asks to be taken in."""
+    """A request from a replica to be added to the members."""
 
     request: messages.JoinRequest
 
 
 @attrs.frozen
 class UseAddresses:
-    """Says where other control boxes are found."""
+    """Replaces the addresses at which other control boxes can be contacted."""
 
     addresses: tuple[str, ...]
 
 
 @attrs.frozen
 class _Flush:
-    """Propose what has gathered."""
+    """Proposes the queued commands as one batch."""
 
 
 @attrs.frozen
-class _Answered:
+class _ReplyReceived:
     reply: messages.Reply
     sent_s: float
 
 
 @attrs.frozen
-class _Unanswered:
+class _RequestFailed:
     replica: str
     address: str
     size_bytes: int
@@ -93,65 +93,65 @@
 
 
 class ReplicaController(actors.Controller):
-    """Writes, sends and applies what the replica's core asks for."""
+    """Carries out the effects of the replica core: disk writes, requests and applied commands."""
 
     def __init__(
         self,
         identity: Identity,
         store: replica_store.ReplicaStore,
         timing: states.Timing,
-        outgoing: senders.Senders,
+        message_senders: senders.Senders,
         state: agreed.AgreedState,
         view: actors.View[replica_standing.Standing],
         clock: clocks.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         super().__init__()
         self._identity = identity
         self._store = store
         self._timing = timing
-        self._outgoing = outgoing
+        self._senders = message_senders
         self._state = state
         self._view = view
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._replica: replicas.Replica | None = None
-        self._proposals = proposals.Proposals()
-        self._retry_at_s = float("-inf")
-        self._joining = joining.Joining(
-            identity.address, identity.known_addresses, heard_at_s=clock.monotonic_s()
+        self._proposals = proposals.ProposalTracker()
+        self._reload_at_s = float("-inf")
+        self._join_schedule = joining.JoinSchedule(
+            identity.address, identity.known_addresses, last_contact_s=clock.monotonic_s()
         )
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
 
     def on_start(self) -> None:
-        """Load the disk before the first message."""
+        """Load the replica from disk before the first message."""
         self._load()
 
     def on_stop(self) -> None:
-        """End the links and close the file."""
-        self._outgoing.keep(set())
+        """Close the connections and the log file."""
+        self._senders.keep(set())
         self._store.close()
 
     def handle(self, message: object) -> object:
         """Handle a request, a reply, a proposal or a tick."""
         match message:
-            case proposals.Propose():
-                self._gather(message)
+            case proposals.Proposal():
+                self._enqueue(message)
             case _Flush():
                 self._flush()
             case UseAddresses(addresses):
-                self._joining.known = addresses
+                self._join_schedule.seed_addresses = addresses
             case Receive(request):
-                self._joining.heard_at_s = self._clock.monotonic_s()
+                self._join_schedule.last_contact_s = self._clock.monotonic_s()
                 return self._receive(request)
             case Join(request):
                 return self._admit(request)
-            case _Answered(reply, sent_s):
-                self._joining.heard_at_s = self._clock.monotonic_s()
-                self._silent.discard(_sender(reply))
-                self._with_replica(lambda one, now_s: one.reply(reply, sent_s, now_s))
-            case _Unanswered():
-                self._unanswered(message)
+            case _ReplyReceived(reply, sent_s):
+                self._join_schedule.last_contact_s = self._clock.monotonic_s()
+                self._unresponsive.discard(_sender(reply))
+                self._with_replica(lambda core, now_s: core.reply(reply, sent_s, now_s))
+            case _RequestFailed():
+                self._on_request_failed(message)
             case actors.Tick():
                 self._tick()
         return None
@@ -159,18 +159,18 @@
     # --- disk ---------------------------------------------------------------------------------
 
     def _load(self) -> None:
-        """Make the replica from the disk; tried again later if the disk refuses."""
-        fresh = messages.Stored(
+        """Create the replica from disk; if the disk fails, a later tick retries."""
+        initial = messages.Stored(
             snapshot=messages.Snapshot(members=messages.Members(self._identity.first_members))
         )
         try:
-            stored = self._store.load(fresh)
+            stored = self._store.load(initial)
         except OSError as failure:
-            self._disk_failed(failure)
+            self._on_disk_error(failure)
             return
         state_codec.restore(stored.snapshot.state, self._state)
         self._replica = replicas.Replica(
-            self._identity.replica, stored, self._timing, self._chance, self._clock.monotonic_s()
+            self._identity.replica, stored, self._timing, self._rng, self._clock.monotonic_s()
         )
         events.emit(
             _LOG,
@@ -181,12 +181,13 @@
             entries=len(stored.entries),
         )
 
-    def _disk_failed(self, failure: OSError) -> None:
-        """Give up the replica in memory: it is ahead of the disk."""
+    def _on_disk_error(self, failure: OSError) -> None:
+        """Discard the replica in memory, which is ahead of the disk, and schedule a reload."""
         events.emit(_LOG, events.Event.DISK_FAILED, level=logging.ERROR, problem=str(failure))
         self._replica = None
-        self._retry_at_s = self._clock.monotonic_s() + _DISK_RETRY_S
-        # First that it leads no more: whoever is told that a command failed may look at once.
+        self._reload_at_s = self._clock.monotonic_s() + _DISK_RETRY_S
+        # Publish the loss of leadership first: a proposer may check the status as soon as its
+        # future fails.
         self._view.publish(replica_standing.Standing())
         self._proposals.fail_pending()
 
@@ -194,30 +195,33 @@
 
     def _tick(self) -> None:
         if self._replica is None:
-            if self._clock.monotonic_s() >= self._retry_at_s:
+            if self._clock.monotonic_s() >= self._reload_at_s:
                 self._load()
             return
-        self._with_replica(lambda one, now_s: one.tick(now_s))
+        self._with_replica(lambda core, now_s: core.tick(now_s))
         if self._replica is not None:
-            self._join(self._replica)
+            self._request_join(self._replica)
 
     def _with_replica(
-        self, act: Callable[[replicas.Replica, float], states.Effects]
+        self, action: Callable[[replicas.Replica, float], states.Effects]
     ) -> states.Effects:
-        """Have the replica act and carry out what it asks for."""
+        """Run an action on the replica, carry out its effects and return them.
+
+        Without a replica, after a disk failure, it does nothing and returns no effects.
+        """
         if self._replica is None:
             return states.Effects()
-        effects = act(self._replica, self._clock.monotonic_s())
+        effects = action(self._replica, self._clock.monotonic_s())
         self._carry_out(self._replica, effects)
         return effects
 
     def _carry_out(self, replica: replicas.Replica, effects: states.Effects) -> None:
-        """Write, then send, then apply; raises nothing for a disk that refuses."""
+        """Write, then send, then apply; a disk error discards the replica and isn't raised."""
         try:
             self._write(replica, effects)
         except OSError as failure:
-            self._disk_failed(failure)
-            # An answer would speak of what is not on the disk.
+            self._on_disk_error(failure)
+            # The reply would acknowledge data that is not on disk.
             effects.reply = None
             return
         for request in effects.sends:
@@ -234,7 +238,7 @@
             self._store.write(effects.write)
 
     def _receive(self, request: messages.Request) -> messages.Reply | None:
-        return self._with_replica(lambda one, now_s: one.receive(request, now_s)).reply
+        return self._with_replica(lambda core, now_s: core.receive(request, now_s)).reply
 
     def _send(self, replica: replicas.Replica, request: messages.Request) -> None:
         member = replica.members.find(request.to)
@@ -243,19 +247,19 @@
         sent_s = self._clock.monotonic_s()
 
         def on_answer(body: bytes) -> None:
-            self.tell_self(_Answered(json_codec.decode(body, replica_codec.REPLY), sent_s))
+            self.tell_self(_ReplyReceived(json_codec.decode(body, replica_codec.REPLY), sent_s))
 
         def on_failure(failure: errors.CroftpulleyError) -> None:
             took_s = self._clock.monotonic_s() - sent_s
-            self.tell_self(_Unanswered(request.to, member.address, len(body), took_s, failure))
+            self.tell_self(_RequestFailed(request.to, member.address, len(body), took_s, failure))
 
         body = json_codec.encode(request, replica_codec.REQUEST)
         job = senders.Job(REQUEST_PATH, body, on_answer, on_failure)
-        self._outgoing.to(member.address).send(job)
+        self._senders.to(member.address).send(job)
 
-    def _unanswered(self, message: _Unanswered) -> None:
-        """Let the replica know, and log the first of a row and whatever was large."""
-        if message.replica not in self._silent or message.size_bytes >= LOGGED_SIZE_BYTES:
+    def _on_request_failed(self, message: _RequestFailed) -> None:
+        """Tell the replica, and log the first failure in a row and every large request."""
+        if message.replica not in self._unresponsive or message.size_bytes >= LARGE_REQUEST_BYTES:
             events.emit(
                 _LOG,
                 events.Event.REPLICA_UNANSWERED,
@@ -265,13 +269,13 @@
                 took_s=round(message.took_s, 3),
                 problem=str(message.failure),
             )
-        self._silent.add(message.replica)
+        self._unresponsive.add(message.replica)
         if self._replica is not None:
             self._replica.failed(message.replica, self._clock.monotonic_s())
 
     def _publish(self, replica: replicas.Replica) -> None:
-        standing = replica_standing.publish(self._view, replica, self._clock.monotonic_s())
-        if standing.role is not states.Role.LEADER:
+        status = replica_standing.publish(self._view, replica, self._clock.monotonic_s())
+        if status.role is not states.Role.LEADER:
             self._proposals.fail_pending()
 
     # --- joining ------------------------------------------------------------------------------
@@ -283,10 +287,10 @@
         self._carry_out(self._replica, effects)
         return messages.JoinReply(taken=taken, leader_address=self._view.get().leader_address)
 
-    def _join(self, replica: replicas.Replica) -> None:
-        """Ask to be taken in where that is due."""
-        address = self._joining.next_address(
-            self._clock.monotonic_s(), self._chance, must_join=replica.must_join
+    def _request_join(self, replica: replicas.Replica) -> None:
+        """Send a join request if one is due."""
+        address = self._join_schedule.next_address(
+            self._clock.monotonic_s(), self._rng, must_join=replica.must_join
         )
         if not address:
             return
@@ -294,17 +298,19 @@
             replica=self._identity.replica, address=self._identity.address
         )
         job = senders.Job(
-            JOIN_PATH, json_codec.encode(request), self._join_answered, lambda _failure: None
+            JOIN_PATH, json_codec.encode(request), self._on_join_reply, lambda _failure: None
         )
-        self._outgoing.to(address).send(job)
+        self._senders.to(address).send(job)
 
-    def _join_answered(self, body: bytes) -> None:
-        self._joining.told_leader(json_codec.decode(body, messages.JoinReply).leader_address)
+    def _on_join_reply(self, body: bytes) -> None:
+        self._join_schedule.set_leader_hint(
+            json_codec.decode(body, messages.JoinReply).leader_address
+        )
 
     # --- commands -----------------------------------------------------------------------------
 
-    def _gather(self, proposal: proposals.Propose) -> None:
-        if self._proposals.gather(proposal):
+    def _enqueue(self, proposal: proposals.Proposal) -> None:
+        if self._proposals.enqueue(proposal):
             self.actor_ref.tell(_Flush())
 
     def _flush(self) -> None:
@@ -315,24 +321,24 @@
             return
         payloads = [commands.encode(proposal.command).decode() for proposal in batch]
         effects, indexes = self._replica.propose(payloads, self._clock.monotonic_s())
-        self._proposals.proposed(self._replica.term, indexes, batch)
+        self._proposals.mark_appended(self._replica.term, indexes, batch)
         self._carry_out(self._replica, effects)
 
     def _apply(self, replica: replicas.Replica) -> None:
         for index, entry in replica.take_committed():
             if entry.kind is messages.EntryKind.MEMBERS:
-                _announce(entry)
+                _log_members(entry)
             if entry.kind is messages.EntryKind.COMMAND:
                 self._apply_command(index, entry)
         self._compact(replica)
 
     def _apply_command(self, index: int, entry: messages.Entry) -> None:
-        """Apply a command and answer whoever proposed it; one that cannot be applied is left out.
+        """Apply a command and set its proposal's future; skip a command that raises.
 
-        The others must not go with it: which entries are taken together differs from box to box,
-        and so would what they come to.
+        The other entries of the batch must still be applied: batches differ between boxes, so
+        dropping the rest of one would make their states diverge.
         """
-        proposal = self._proposals.take(index, entry.term)
+        proposal = self._proposals.pop_committed(index, entry.term)
         try:
             result = self._state.apply(commands.decode(entry.payload.encode()))
         except Exception as failure:
@@ -356,13 +362,13 @@
             return
         if replica.log.snapshot.index == replica.applied_index:
             return
-        began_s = self._clock.monotonic_s()
+        started_s = self._clock.monotonic_s()
         before_bytes = self._store.size_bytes
         replica.snapshot(state_codec.encode(self._state))
         try:
             self._store.rewrite(replica.stored())
         except OSError as failure:
-            self._disk_failed(failure)
+            self._on_disk_error(failure)
             return
         events.emit(
             _LOG,
@@ -370,7 +376,7 @@
             snapshot_index=replica.log.snapshot.index,
             before_bytes=before_bytes,
             size_bytes=self._store.size_bytes,
-            took_s=round(self._clock.monotonic_s() - began_s, 3),
+            took_s=round(self._clock.monotonic_s() - started_s, 3),
         )
 
 
@@ -378,7 +384,7 @@
     return reply.voter if isinstance(reply, messages.VoteReply) else reply.replica
 
 
-def _announce(entry: messages.Entry) -> None:
+def _log_members(entry: messages.Entry) -> None:
     members = entry.members or messages.Members()
     events.emit(
         _LOG,
@@ -389,22 +395,26 @@
 
 
 class ReplicatedLog(agreement.Agreement):
-    """Agreement of several control boxes, as its users see it."""
+    """The log that is replicated among several control boxes."""
 
     def __init__(self, controller: pykka.ActorRef[Any], state: agreed.AgreedState) -> None:
         self._controller = controller
         self._state = state
 
     def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
-        """Queue the command; the future fails with NOT_LEADER where it cannot be committed."""
-        proposal = proposals.Propose(command, pykka.ThreadingFuture())
+        """Queue a command; return a future of its result.
+
+        The future raises `errors.CroftpulleyError`: NOT_LEADER if the command can't be committed
+        here, INTERNAL if applying it failed.
+        """
+        proposal = proposals.Proposal(command, pykka.ThreadingFuture())
         try:
             self._controller.tell(proposal)
         except pykka.ActorDeadError:
-            # This box stops; its last requests end after its log.
+            # The box is stopping; its last requests finish after the controller has stopped.
             proposal.fail(codes.RunState.NOT_RUN)
         return proposal.result
 
     def read(self) -> agreed.AgreedState:
-        """Return the state as applied here, which may be behind the leader's."""
+        """Return the state applied on this box, which may lag behind the leader's."""
         return self._state
--- a/src/croftpulley/controllers/replica_standing.py
+++ b/src/croftpulley/controllers/replica_standing.py
@@ -1,4 +1,4 @@
-"""What other threads may know of this box's replica, and the line of each change of its role."""
+"""The status of this box's replica for other threads, and the log line for each role change."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 @attrs.frozen
 class Standing:
-    """What other threads may know of the replica.
+    """A snapshot of the replica's state, published to other threads.
 
-    ``authority_until_s`` is on this box's steady clock; until then no other box can lead.
-    ``silent_addresses`` are those of members that lately answered this leader nothing.
+    ``authority_until_s`` is on this box's monotonic clock; until then no other box can become
+    leader (a leader lease). ``silent_addresses`` are the addresses of members that have recently
+    not answered this leader.
     """
 
     role: states.Role = states.Role.FOLLOWER
@@ -31,19 +32,19 @@
     silent_addresses: tuple[str, ...] = ()
 
     def leads(self, now_s: float) -> bool:
-        """Tell whether this box alone may answer for the agreed state."""
+        """Return whether this box is certain that no other one leads, so that it may answer."""
         return now_s < self.authority_until_s
 
     @property
     def addresses(self) -> tuple[str, ...]:
-        """Where all members are reached."""
+        """The addresses of all members."""
         return tuple(member.address for member in self.members.members)
 
 
 def publish(view: actors.View[Standing], replica: replicas.Replica, now_s: float) -> Standing:
-    """Let others know how the replica stands now, and return it."""
-    before = view.get()
-    standing = Standing(
+    """Publish the replica's current status if it changed, log a role change, return the status."""
+    previous = view.get()
+    status = Standing(
         role=replica.role,
         term=replica.term,
         leader_address=replica.leader_address(),
@@ -51,20 +52,20 @@
         members=replica.members,
         silent_addresses=replica.silent_addresses(now_s),
     )
-    if standing != before:
-        view.publish(standing)
-    if _position(standing) != _position(before):
+    if status != previous:
+        view.publish(status)
+    if _role_and_leader(status) != _role_and_leader(previous):
         events.emit(
             _LOG,
             events.Event.REPLICA_ROLE,
-            role=standing.role.value,
-            term=standing.term,
-            leader_address=standing.leader_address,
+            role=status.role.value,
+            term=status.term,
+            leader_address=status.leader_address,
             last_index=replica.log.last_index,
             commit_index=replica.commit_index,
         )
-    return standing
+    return status
 
 
-def _position(standing: Standing) -> tuple[states.Role, int, str]:
-    return standing.role, standing.term, standing.leader_address
+def _role_and_leader(status: Standing) -> tuple[states.Role, int, str]:
+    return status.role, status.term, status.leader_address
--- a/src/croftpulley/controllers/state.py
+++ b/src/croftpulley/controllers/state.py
@@ -1,4 +1,4 @@
-"""What an entry box knows of the fleet."""
+"""The state of the fleet as an entry box knows it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class FleetState:
-    """What an entry box knows of the fleet; published whole."""
+    """An immutable snapshot of the fleet, replaced as a whole when something changes."""
 
     lease_until_s: float = float("-inf")
     configuration: fleet.FleetConfiguration = attrs.field(factory=fleet.FleetConfiguration)
@@ -19,9 +19,9 @@
     draining: bool = False
 
     def mean_load(self, pool: str) -> float:
-        """Return the pool's outstanding requests an engine, as last heard."""
+        """Return the outstanding requests per engine of a pool as last reported; 0 if unknown."""
         return next((load.mean for load in self.loads if load.pool == pool), 0.0)
 
     def lease_holds(self, now_s: float) -> bool:
-        """Tell whether this box may take new work."""
+        """Return whether this box has a valid lease and so may accept new requests."""
         return now_s < self.lease_until_s
--- a/testing/controllers/test_configuration_fetch.py
+++ b/testing/controllers/test_configuration_fetch.py
@@ -1,4 +1,4 @@
-"""Fetching a configuration in parts: which control box is asked, and what a failure costs."""
+"""Downloading a configuration in parts: the choice of control boxes, and failures."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 VERSION = 7
 TEXT = random.Random(1).randbytes(50_000).hex()
-"""Four parts as packed."""
+"""Four parts when compressed."""
 FOLLOWERS = ("b:1", "c:1", "d:1")
 LEADER = "a:1"
 
 
-class Log(agreement.Agreement):
-    """A log in which one document is applied."""
+class AppliedLog(agreement.Agreement):
+    """A command log with one configuration applied."""
 
     def __init__(self, version, text=TEXT):
         self.state = agreed.AgreedState(submissions=submissions.HighestNumber())
@@ -42,17 +42,17 @@
 
 
 @attrs.define
-class Boxes:
-    """Control boxes by address, in place of links; a failed one answers nothing."""
+class FakeLinks:
+    """Replaces the links: control boxes by address, some of which are unreachable."""
 
-    logs: dict[str, Log]
-    failed: set[str] = attrs.field(factory=set)
-    asked: list[str] = attrs.field(factory=list)
+    logs: dict[str, AppliedLog]
+    unreachable: set[str] = attrs.field(factory=set)
+    requested_from: list[str] = attrs.field(factory=list)
     address: str = ""
-    serve: dict[str, configuration_parts.ConfigurationParts] = attrs.field(factory=dict)
+    servers: dict[str, configuration_parts.ConfigurationParts] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self):
-        self.serve = {
+        self.servers = {
             address: configuration_parts.ConfigurationParts(log)
             for address, log in self.logs.items()
         }
@@ -63,16 +63,16 @@
 
     def post(self, path, body):
         assert path == box_messages.CONFIGURATION_PARTS_PATH
-        self.asked.append(self.address)
-        if self.address in self.failed:
-            raise links.unreachable(self.address, "broken off")
+        self.requested_from.append(self.address)
+        if self.address in self.unreachable:
+            raise links.unreachable(self.address, "connection lost")
         request = json_codec.decode(body, parts.ConfigurationRequest)
-        return json_codec.encode(self.serve[self.address].answer(request))
+        return json_codec.encode(self.servers[self.address].answer(request))
 
 
 @pytest.fixture
 def boxes():
-    return Boxes({each: Log(VERSION) for each in (LEADER, *FOLLOWERS)})
+    return FakeLinks({each: AppliedLog(VERSION) for each in (LEADER, *FOLLOWERS)})
 
 
 def make_fetch(boxes, seed=1):
@@ -82,8 +82,8 @@
     return made
 
 
-def run(fetch):
-    """Step until there is nothing to ask for, or nobody."""
+def run_round(fetch):
+    """Step until the configuration is complete or no box is left in this round."""
     while fetch.may_step:
         fetched = fetch.step()
         if fetched is not None:
@@ -91,111 +91,113 @@
     return None
 
 
-def test_one_box_that_does_not_lead_serves_it_whole(boxes):
-    fetched = run(make_fetch(boxes))
+def test_whole_configuration_is_fetched_from_a_single_follower(boxes):
+    fetched = run_round(make_fetch(boxes))
     assert (fetched.version, fetched.document) == (VERSION, TEXT)
     assert fetched.size_bytes == len(packing.pack(TEXT))
-    assert len(boxes.asked) == -(-fetched.size_bytes // parts.PART_SIZE_BYTES) == 4
-    assert len(set(boxes.asked)) == 1
-    assert LEADER not in boxes.asked
+    assert len(boxes.requested_from) == -(-fetched.size_bytes // parts.PART_SIZE_BYTES) == 4
+    assert len(set(boxes.requested_from)) == 1
+    assert LEADER not in boxes.requested_from
 
 
-def test_after_a_failure_another_box_sends_the_rest(boxes):
+def test_after_a_failure_another_box_sends_the_remaining_parts(boxes):
     fetch = make_fetch(boxes)
     fetch.step()
-    boxes.failed.add(boxes.asked[0])
-    assert run(fetch).document == TEXT
-    # One request more than there are parts: nothing came twice.
-    assert len(boxes.asked) == 5
-    assert len(set(boxes.asked)) == 2
+    boxes.unreachable.add(boxes.requested_from[0])
+    assert run_round(fetch).document == TEXT
+    # One request more than there are parts: no part was sent twice.
+    assert len(boxes.requested_from) == 5
+    assert len(set(boxes.requested_from)) == 2
 
 
-def test_the_leader_is_asked_once_no_other_holds_the_version(boxes):
+def test_leader_is_asked_after_all_followers_lack_the_version(boxes):
     for each in FOLLOWERS:
-        boxes.serve[each] = configuration_parts.ConfigurationParts(Log(VERSION - 1, "older"))
+        boxes.servers[each] = configuration_parts.ConfigurationParts(
+            AppliedLog(VERSION - 1, "older")
+        )
     fetch = make_fetch(boxes)
     for _ in range(4):
         assert fetch.step() is None
-    assert boxes.asked[3:] == [LEADER]
-    assert set(boxes.asked[:3]) == set(FOLLOWERS)
+    assert boxes.requested_from[3:] == [LEADER]
+    assert set(boxes.requested_from[:3]) == set(FOLLOWERS)
 
 
-def test_the_others_are_asked_again_after_a_part_from_the_leader(boxes):
-    lacking = configuration_parts.ConfigurationParts(Log(VERSION - 1, "older"))
-    serving = dict(boxes.serve)
-    boxes.serve.update(dict.fromkeys(FOLLOWERS, lacking))
+def test_followers_are_asked_again_after_a_part_from_the_leader(boxes):
+    outdated = configuration_parts.ConfigurationParts(AppliedLog(VERSION - 1, "older"))
+    up_to_date = dict(boxes.servers)
+    boxes.servers.update(dict.fromkeys(FOLLOWERS, outdated))
     fetch = make_fetch(boxes)
     for _ in range(4):
         fetch.step()
-    boxes.serve.update(serving)
-    assert run(fetch).document == TEXT
-    assert boxes.asked.count(LEADER) == 1
+    boxes.servers.update(up_to_date)
+    assert run_round(fetch).document == TEXT
+    assert boxes.requested_from.count(LEADER) == 1
 
 
-def test_the_leader_sends_one_part_a_round_while_the_others_lag(boxes):
-    lacking = configuration_parts.ConfigurationParts(Log(VERSION - 1, "older"))
-    boxes.serve.update(dict.fromkeys(FOLLOWERS, lacking))
+def test_leader_sends_one_part_per_round_while_followers_lag(boxes):
+    outdated = configuration_parts.ConfigurationParts(AppliedLog(VERSION - 1, "older"))
+    boxes.servers.update(dict.fromkeys(FOLLOWERS, outdated))
     fetch = make_fetch(boxes)
     for sent in range(1, 4):
-        assert run(fetch) is None
-        assert boxes.asked.count(LEADER) == sent
+        assert run_round(fetch) is None
+        assert boxes.requested_from.count(LEADER) == sent
         fetch.begin_round((LEADER, *FOLLOWERS), LEADER)
-    assert run(fetch).document == TEXT
+    assert run_round(fetch).document == TEXT
 
 
-def test_the_leader_sends_it_all_at_once_where_no_other_answers(boxes):
-    boxes.failed.update(FOLLOWERS)
-    assert run(make_fetch(boxes)).document == TEXT
-    assert boxes.asked.count(LEADER) == 4
+def test_leader_sends_all_parts_in_one_round_if_no_follower_answers(boxes):
+    boxes.unreachable.update(FOLLOWERS)
+    assert run_round(make_fetch(boxes)).document == TEXT
+    assert boxes.requested_from.count(LEADER) == 4
 
 
-def test_what_was_had_is_kept_until_a_box_answers_again(boxes, caplog):
+def test_received_parts_are_kept_while_no_box_answers(boxes, caplog):
     fetch = make_fetch(boxes)
     fetch.step()
-    boxes.failed.update((LEADER, *FOLLOWERS))
+    boxes.unreachable.update((LEADER, *FOLLOWERS))
     with caplog.at_level(logging.WARNING):
-        assert run(fetch) is None
+        assert run_round(fetch) is None
     assert fetch.is_incomplete
-    assert len(caplog.records) == 1, "one line for a row of failures"
-    asked = len(boxes.asked)
-    assert asked == 5, "each is asked once a round"
-    boxes.failed.clear()
+    assert len(caplog.records) == 1, "one log line for consecutive failures"
+    asked = len(boxes.requested_from)
+    assert asked == 5, "each box is asked once per round"
+    boxes.unreachable.clear()
     fetch.begin_round((LEADER, *FOLLOWERS), LEADER)
-    assert run(fetch).document == TEXT
-    assert len(boxes.asked) - asked == 3
+    assert run_round(fetch).document == TEXT
+    assert len(boxes.requested_from) - asked == 3
 
 
-def test_a_newer_version_on_the_way_is_fetched_in_place_of_the_older(boxes):
+def test_newer_version_replaces_an_unfinished_one(boxes):
     fetch = make_fetch(boxes)
     fetch.step()
     for log in boxes.logs.values():
         log.submit(VERSION + 1, "newer" + TEXT)
-    fetched = run(fetch)
+    fetched = run_round(fetch)
     assert (fetched.version, fetched.document) == (VERSION + 1, "newer" + TEXT)
     fetch.aim(VERSION + 1)
     assert not fetch.is_incomplete
 
 
-def test_an_answer_that_is_no_part_is_not_taken(boxes, monkeypatch):
+def test_invalid_part_is_rejected_and_its_sender_not_asked_again(boxes, monkeypatch):
     fetch = make_fetch(boxes)
     first = fetch._sources[0]
     monkeypatch.setattr(
-        boxes.serve[first], "answer", lambda _request: parts.ConfigurationPart(version=VERSION)
+        boxes.servers[first], "answer", lambda _request: parts.ConfigurationPart(version=VERSION)
     )
-    assert run(fetch).document == TEXT
-    assert boxes.asked.count(first) == 1
+    assert run_round(fetch).document == TEXT
+    assert boxes.requested_from.count(first) == 1
 
 
-def test_a_version_is_packed_once_whoever_asks(monkeypatch):
+def test_concurrent_requests_compress_a_version_once(monkeypatch):
     packs = []
     pack = packing.pack
     monkeypatch.setattr(packing, "pack", lambda text: packs.append(1) or pack(text))
-    served = configuration_parts.ConfigurationParts(Log(VERSION))
+    server = configuration_parts.ConfigurationParts(AppliedLog(VERSION))
     answers = []
 
     def ask():
         request = parts.ConfigurationRequest(version=VERSION, offset=0)
-        answers.append(served.answer(request))
+        answers.append(server.answer(request))
 
     threads = [threading.Thread(target=ask) for _ in range(16)]
     for each in threads:
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -1,4 +1,4 @@
-"""What a control box answers operators around a moment without authority."""
+"""Answers to operators by a control box that lacks or gains authority."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from croftpulley.settings import formats
 
 FAR_S = 1e9
-LEADS = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
-NO_AUTHORITY = attrs.evolve(LEADS, authority_until_s=float("-inf"))
-FOLLOWS = replica_standing.Standing(states.Role.FOLLOWER, 1, "127.0.0.1:7")
+LEADER = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+NO_AUTHORITY = attrs.evolve(LEADER, authority_until_s=float("-inf"))
+FOLLOWER = replica_standing.Standing(states.Role.FOLLOWER, 1, "127.0.0.1:7")
 
 
-class Applied(agreement.Agreement):
-    """A state that this box has applied so far."""
+class FakeLog(agreement.Agreement):
+    """A command log; ``on_read`` is called before each read of its state."""
 
     def __init__(self):
         self.state = agreed.AgreedState(submissions=submissions.HighestNumber())
@@ -45,8 +45,8 @@
 
 
 @pytest.fixture
-def applied():
-    return Applied()
+def fake_log():
+    return FakeLog()
 
 
 @pytest.fixture
@@ -55,71 +55,73 @@
 
 
 @pytest.fixture
-def register(applied, view):
-    return suspect_register.SuspectRegister(applied, view, clocks.SystemClock())
+def register(fake_log, view):
+    return suspect_register.SuspectRegister(fake_log, view, clocks.SystemClock())
 
 
 @pytest.fixture
-def plane(applied, view, register):
+def plane(fake_log, view, register):
     return control_plane.ControlPlane(
-        applied, view, None, register, formats.OwnFormat(), frozenset(), 1.0, clocks.SystemClock()
+        fake_log, view, None, register, formats.OwnFormat(), frozenset(), 1.0, clocks.SystemClock()
     )
 
 
 @pytest.fixture
-def waits(monkeypatch):
-    """Have a call wait for authority until the test gives it."""
+def call_waits(monkeypatch):
+    """Make calls wait long for authority; return an event that is set when one starts to wait."""
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 20.0)
-    began = threading.Event()
+    is_waiting = threading.Event()
     wait_for = actors.View.wait_for
 
-    def watched(view, holds, timeout_s):
-        began.set()
-        return wait_for(view, holds, timeout_s)
+    def watched(view, predicate, timeout_s):
+        is_waiting.set()
+        return wait_for(view, predicate, timeout_s)
 
     monkeypatch.setattr(actors.View, "wait_for", watched)
-    return began
+    return is_waiting
 
 
-def test_a_configuration_is_read_after_authority_came_and_not_before(plane, applied, view, waits):
-    # A box that has just started, and then leads, has applied nothing yet when the call comes.
+def test_configuration_is_read_only_after_authority_is_gained(plane, fake_log, view, call_waits):
+    # The call arrives when the box has just started and applied nothing; then it becomes leader.
     answers = []
     call = threading.Thread(target=lambda: answers.append(plane.read().version))
     call.start()
-    assert waits.wait(20.0)
-    applied.apply(3)
-    view.publish(LEADS)
+    assert call_waits.wait(20.0)
+    fake_log.apply(3)
+    view.publish(LEADER)
     call.join(20.0)
     assert answers == [3]
 
 
-@pytest.mark.parametrize("before", [NO_AUTHORITY, attrs.evolve(LEADS, term=0)], ids=["none", "old"])
-def test_what_was_read_before_a_leadership_began_is_not_told(
-    plane, applied, view, monkeypatch, before
+@pytest.mark.parametrize(
+    "before", [NO_AUTHORITY, attrs.evolve(LEADER, term=0)], ids=["none", "old"]
+)
+def test_value_read_before_leadership_began_is_not_returned(
+    plane, fake_log, view, monkeypatch, before
 ):
-    """A box whose disk refused a write applies its log anew, and leads again meanwhile.
+    """Guards against returning a state that is being rebuilt as the newest one.
 
-    Nobody has seen it; found at the read of what tells that a state was read under authority. It
-    was looked at after the reading only: a call that had waited in vain, or under a leadership that
-    had ended, read a state that was being made anew, and told it as the newest if the box came to
-    lead before the look.
+    After a failed disk write a box replays its log and may become leader again meanwhile. When
+    authority was checked only after the read, a call that had timed out waiting for authority, or
+    that began in an earlier term, returned the partly rebuilt state if the box became leader before
+    the check. Found in review, not observed in operation.
     """
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 0.0)
-    applied.on_read = lambda: view.publish(LEADS)
+    fake_log.on_read = lambda: view.publish(LEADER)
     for read in (plane.read, plane.suspects):
         view.publish(before)
         with pytest.raises(control_plane.NotLeaderError):
             read()
 
 
-def test_a_box_that_does_not_lead_names_who_does_at_once(plane, view):
-    view.publish(FOLLOWS)
+def test_follower_names_the_leader_immediately(plane, view):
+    view.publish(FOLLOWER)
     with pytest.raises(control_plane.NotLeaderError) as failure:
         plane.read()
     assert failure.value.leader_address == "127.0.0.1:7"
 
 
-def test_a_leader_that_stays_without_authority_names_nobody(plane, monkeypatch):
+def test_leader_without_authority_names_no_leader(plane, monkeypatch):
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 0.0)
     with pytest.raises(control_plane.NotLeaderError) as failure:
         plane.read()
--- a/testing/controllers/test_joining.py
+++ b/testing/controllers/test_joining.py
@@ -8,34 +8,34 @@
 
 
 @pytest.fixture
-def asks():
-    return joining.Joining("own:1", ("own:1", "a:1"), heard_at_s=0.0)
+def schedule():
+    return joining.JoinSchedule("own:1", ("own:1", "a:1"), last_contact_s=0.0)
 
 
-def next_address(asks, now_s, must_join=False):
-    return asks.next_address(now_s, random.Random(1), must_join=must_join)
+def next_address(schedule, now_s, must_join=False):
+    return schedule.next_address(now_s, random.Random(1), must_join=must_join)
 
 
-def test_a_replica_that_hears_others_asks_nobody(asks):
-    assert next_address(asks, joining.LOST_AFTER_S) == ""
+def test_replica_in_contact_with_others_sends_no_join_request(schedule):
+    assert next_address(schedule, joining.LOST_AFTER_S) == ""
 
 
-def test_one_that_is_no_member_or_has_lost_the_others_asks_any_but_itself(asks):
-    assert next_address(asks, 0.0, must_join=True) == "a:1"
-    assert next_address(asks, joining.LOST_AFTER_S + 0.1) == "a:1"
+def test_non_member_or_isolated_replica_asks_a_seed_other_than_itself(schedule):
+    assert next_address(schedule, 0.0, must_join=True) == "a:1"
+    assert next_address(schedule, joining.LOST_AFTER_S + 0.1) == "a:1"
 
 
-def test_the_leader_that_a_box_told_is_asked_next_and_once(asks):
-    asks.told_leader("leader:1")
-    asked = [next_address(asks, number, must_join=True) for number in range(2)]
+def test_leader_hint_is_used_for_the_next_request_only(schedule):
+    schedule.set_leader_hint("leader:1")
+    asked = [next_address(schedule, number, must_join=True) for number in range(2)]
     assert asked == ["leader:1", "a:1"]
 
 
-def test_a_box_that_names_the_asker_as_leader_is_not_believed(asks):
-    asks.told_leader("own:1")
-    assert next_address(asks, 0.0, must_join=True) == "a:1"
+def test_leader_hint_that_names_this_replica_is_ignored(schedule):
+    schedule.set_leader_hint("own:1")
+    assert next_address(schedule, 0.0, must_join=True) == "a:1"
 
 
-def test_asks_keep_their_interval(asks):
-    assert next_address(asks, 0.0, must_join=True) == "a:1"
-    assert next_address(asks, 0.1, must_join=True) == ""
+def test_requests_keep_the_retry_interval(schedule):
+    assert next_address(schedule, 0.0, must_join=True) == "a:1"
+    assert next_address(schedule, 0.1, must_join=True) == ""
--- a/testing/controllers/test_proposals.py
+++ b/testing/controllers/test_proposals.py
@@ -9,16 +9,16 @@
 
 
 @pytest.fixture
-def pending():
-    """Return proposals of which one stands at index 7, proposed in term 2."""
-    made = proposals.Proposals()
-    made.gather(propose())
-    made.proposed(2, [7], made.take_batch())
-    return made
+def tracker():
+    """Return a tracker with one proposal, appended at index 7 in term 2."""
+    tracker = proposals.ProposalTracker()
+    tracker.enqueue(propose())
+    tracker.mark_appended(2, [7], tracker.take_batch())
+    return tracker
 
 
 def propose():
-    return proposals.Propose(agreed.ForgetBox("a"), pykka.ThreadingFuture())
+    return proposals.Proposal(agreed.ForgetBox("a"), pykka.ThreadingFuture())
 
 
 def failure_of(proposal):
@@ -27,31 +27,31 @@
     return raised.value.run_state
 
 
-def test_only_the_first_of_a_batch_is_told_apart():
-    made = proposals.Proposals()
+def test_enqueue_returns_true_only_for_the_first_of_a_batch():
+    tracker = proposals.ProposalTracker()
     one, other = propose(), propose()
-    assert [made.gather(one), made.gather(other)] == [True, False]
-    assert made.take_batch() == [one, other]
-    assert made.gather(propose())
+    assert [tracker.enqueue(one), tracker.enqueue(other)] == [True, False]
+    assert tracker.take_batch() == [one, other]
+    assert tracker.enqueue(propose())
 
 
-def test_a_committed_entry_is_the_proposal_that_stood_there_once(pending):
-    assert pending.take(7, 2) is not None
-    assert pending.take(7, 2) is None
+def test_committed_proposal_is_returned_once(tracker):
+    assert tracker.pop_committed(7, 2) is not None
+    assert tracker.pop_committed(7, 2) is None
 
 
-def test_a_proposal_that_another_leader_replaced_will_never_run():
-    made = proposals.Proposals()
-    replaced = propose()
-    made.proposed(2, [7], [replaced])
-    assert made.take(7, 3) is None
-    assert failure_of(replaced) is codes.RunState.NOT_RUN
+def test_proposal_overwritten_by_another_leader_fails_as_not_run():
+    tracker = proposals.ProposalTracker()
+    overwritten = propose()
+    tracker.mark_appended(2, [7], [overwritten])
+    assert tracker.pop_committed(7, 3) is None
+    assert failure_of(overwritten) is codes.RunState.NOT_RUN
 
 
-def test_of_what_is_pending_when_leadership_ends_nobody_knows_whether_it_runs():
-    made = proposals.Proposals()
-    left = propose()
-    made.proposed(2, [7], [left])
-    made.fail_pending()
-    assert failure_of(left) is codes.RunState.UNKNOWN
-    assert made.take(7, 2) is None
+def test_pending_proposal_fails_as_unknown_when_leadership_ends():
+    tracker = proposals.ProposalTracker()
+    appended = propose()
+    tracker.mark_appended(2, [7], [appended])
+    tracker.fail_pending()
+    assert failure_of(appended) is codes.RunState.UNKNOWN
+    assert tracker.pop_committed(7, 2) is None
--- a/testing/controllers/test_replica_sight.py
+++ b/testing/controllers/test_replica_sight.py
@@ -1,4 +1,4 @@
-"""What a control box tells of its log, for whoever looks for a cause afterwards."""
+"""The log lines of a replica controller, and its behavior after failed entries and writes."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from croftpulley.storage import files, replica_store
 from croftpulley.transport import senders
 
-NOBODY = "127.0.0.1:1"
-MEMBERS = (messages.Member("a", NOBODY), messages.Member("b", NOBODY))
-LIMIT_S = 0.2
+UNREACHABLE = "127.0.0.1:1"
+MEMBERS = (messages.Member("a", UNREACHABLE), messages.Member("b", UNREACHABLE))
+REQUEST_TIMEOUT_S = 0.2
 
 
 @pytest.fixture
@@ -33,11 +33,11 @@
         view = actors.View(replica_standing.Standing())
         controller = replica.ReplicaController.start(
             replica.Identity(
-                replica="a", address=NOBODY, known_addresses=(), first_members=members
+                replica="a", address=UNREACHABLE, known_addresses=(), first_members=members
             ),
             replica_store.ReplicaStore(tmp_path, open_file),
             states.Timing(election_s=0.05),
-            senders.Senders(LIMIT_S, counters or metrics.Metrics()),
+            senders.Senders(REQUEST_TIMEOUT_S, counters or metrics.Metrics()),
             state,
             view,
             clocks.SystemClock(),
@@ -52,71 +52,69 @@
         controller.stop()
 
 
-def logged(caplog, event):
+def records_of(caplog, event):
     return [each for each in caplog.records if getattr(each, "event", 0) == event.value]
 
 
-def leads(view):
+def has_authority(view):
     return view.get().leads(clocks.SystemClock().monotonic_s())
 
 
-def test_a_request_without_an_answer_is_logged_with_its_size_and_counted(start, caplog):
+def test_unanswered_request_is_logged_with_its_size_and_counted(start, caplog):
     caplog.set_level("INFO")
     counters = metrics.Metrics()
     start(MEMBERS, counters)
-    wait_until(lambda: logged(caplog, events.Event.REPLICA_UNANSWERED), "the request failed")
-    (line, *_) = logged(caplog, events.Event.REPLICA_UNANSWERED)
-    assert line.address == NOBODY
+    wait_until(lambda: records_of(caplog, events.Event.REPLICA_UNANSWERED), "the request failed")
+    (line, *_) = records_of(caplog, events.Event.REPLICA_UNANSWERED)
+    assert line.address == UNREACHABLE
     assert line.size_bytes > 0
     assert line.took_s >= 0
     assert "NewConnectionError" in line.problem
     assert b'croftpulley_control_failures_total{kind="/v1/replica/requests"}' in counters.render()
 
 
-def test_a_compaction_is_logged_with_what_it_wrote(start, caplog):
+def test_compaction_is_logged_with_snapshot_index_and_size(start, caplog):
     caplog.set_level("INFO")
     _, view, log = start()
-    wait_until(lambda: view.get().role is states.Role.LEADER, "it leads")
+    wait_until(lambda: view.get().role is states.Role.LEADER, "the replica leads")
     for number in range(replica.SNAPSHOT_AFTER_ENTRIES + 1):
         log.propose(agreed.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
-    wait_until(lambda: logged(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
-    (line, *_) = logged(caplog, events.Event.LOG_COMPACTED)
+    wait_until(lambda: records_of(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
+    (line, *_) = records_of(caplog, events.Event.LOG_COMPACTED)
     assert line.snapshot_index > 0
     assert line.size_bytes > 0
 
 
-def test_a_state_beyond_the_limit_is_not_written_anew_at_each_further_entry(start, caplog):
+def test_state_above_the_size_limit_is_not_compacted_at_each_entry(start, caplog):
     caplog.set_level("INFO")
     _, view, log = start()
-    wait_until(lambda: view.get().role is states.Role.LEADER, "it leads")
-    # Random digits, which packing does not make shorter than the limit.
+    wait_until(lambda: view.get().role is states.Role.LEADER, "the replica leads")
+    # Random digits, which stay longer than the limit when compressed.
     document = json.dumps(random.Random(1).randbytes(replica.SNAPSHOT_AFTER_BYTES).hex())
     submission = submissions.Submission("operator", 1, document)
     log.propose(agreed.SubmitConfiguration(submission)).get(timeout=5)
-    wait_until(lambda: logged(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
+    wait_until(lambda: records_of(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
     for number in range(5):
         log.propose(agreed.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
-    (line,) = logged(caplog, events.Event.LOG_COMPACTED)
+    (line,) = records_of(caplog, events.Event.LOG_COMPACTED)
     assert line.size_bytes > replica.SNAPSHOT_AFTER_BYTES
 
 
-def test_a_new_role_is_logged_with_how_far_the_log_goes_and_is_committed(start, caplog):
+def test_role_change_is_logged_with_last_and_commit_index(start, caplog):
     caplog.set_level("INFO")
     _, view, _ = start()
-    wait_until(lambda: view.get().role is states.Role.LEADER, "it leads")
-    line = logged(caplog, events.Event.REPLICA_ROLE)[-1]
+    wait_until(lambda: view.get().role is states.Role.LEADER, "the replica leads")
+    line = records_of(caplog, events.Event.REPLICA_ROLE)[-1]
     assert (line.role, line.last_index, line.commit_index) == ("leader", 1, 1)
 
 
-def test_an_entry_that_cannot_be_applied_keeps_no_other_from_being_applied(
-    start, caplog, monkeypatch
-):
-    """Entries that are committed together, the first of which ends whoever applies it.
+def test_entry_that_raises_does_not_stop_the_rest_of_its_batch(start, caplog, monkeypatch):
+    """Guards against diverging states when applying the first entry of a batch raises.
 
-    Nobody has seen it; found by asking what else is given to the next that takes it. All entries of
-    a batch count as taken before the first is applied. One that raised took the others of its batch
-    with it, for good, and other control boxes have other batches: each would have come to a state
-    of its own, and one that starts again has all entries in one batch.
+    All entries of a batch count as taken before the first is applied, so an exception in one used
+    to drop the others for good. Batches differ between control boxes, and a restarted one has all
+    entries in one batch, so the states would have diverged. Found in review, not observed in
+    operation.
     """
     apply = agreed.AgreedState.apply
 
@@ -127,47 +125,48 @@
 
     monkeypatch.setattr(agreed.AgreedState, "apply", apply_or_raise)
     _, view, log = start()
-    wait_until(lambda: leads(view), "it leads")
-    spoiled = log.propose(agreed.ForgetBox("raises"))
-    sound = log.propose(agreed.GrantOwnership("engine", "box"))
-    assert sound.get(timeout=5).epoch == 1
+    wait_until(lambda: has_authority(view), "the replica leads")
+    failing = log.propose(agreed.ForgetBox("raises"))
+    succeeding = log.propose(agreed.GrantOwnership("engine", "box"))
+    assert succeeding.get(timeout=5).epoch == 1
     with pytest.raises(errors.CroftpulleyError, match="INTERNAL"):
-        spoiled.get(timeout=5)
-    (line,) = logged(caplog, events.Event.ENTRY_NOT_APPLIED)
+        failing.get(timeout=5)
+    (line,) = records_of(caplog, events.Event.ENTRY_NOT_APPLIED)
     assert line.index > 0
 
 
 @pytest.fixture
-def refuse_writes():
-    """Return a kind of file, and what makes its next writes fail so many times."""
-    left = [0]
+def failing_disk():
+    """Return a file class, and a function that makes its next writes fail a number of times."""
+    remaining = [0]
 
-    class Refusing(files.DiskFile):
+    class FailingFile(files.DiskFile):
         def append(self, data):
-            if left[0]:
-                left[0] -= 1
+            if remaining[0]:
+                remaining[0] -= 1
                 raise OSError(errno.ENOSPC, "no space left on device")
             super().append(data)
 
-    def refuse(times):
-        left[0] = times
+    def fail_next_writes(times):
+        remaining[0] = times
 
-    return Refusing, refuse
+    return FailingFile, fail_next_writes
 
 
-def test_a_disk_that_refuses_once_has_nothing_applied_twice(start, refuse_writes):
-    """A disk is full for a moment; the box loads its log anew and applies it from the beginning.
+def test_no_entry_is_applied_twice_after_a_failed_write(start, failing_disk):
+    """Guards against applying the log twice when the disk is full for a moment.
 
-    Nobody has seen it; found at the read of this module. Where the log began with a snapshot, the
-    state was made anew from that; before the first snapshot (128 entries) it was left as it was,
-    and all entries were applied on top of it. What counts up, the epochs of owners and the trials
-    of a suspect, then differed from box to box. Evidence: the next epoch is 3 where two grants were
-    made in all.
+    The box then reloads its log and applies it from the beginning. The state was reset if the log
+    had a snapshot, but before the first one (128 entries) all entries were applied on top of the
+    old state. Counters such as owner epochs and the trials of a suspect then differed between
+    boxes: the epoch was 3 after two grants. Found in review, not observed in operation.
     """
-    open_file, refuse = refuse_writes
+    open_file, fail_next_writes = failing_disk
     _, view, log = start(open_file=open_file)
-    wait_until(lambda: leads(view), "it leads")
-    crashes = tuple(suspect_messages.Crash("f", "clinic", life) for life in ("e1", "e2"))
+    wait_until(lambda: has_authority(view), "the replica leads")
+    crashes = tuple(
+        suspect_messages.Crash("f", "clinic", incarnation) for incarnation in ("e1", "e2")
+    )
     for command in (
         agreed.GrantOwnership("engine", "box"),
         agreed.ReportSuspects(suspect_messages.Report(crashes=crashes), 0.0),
@@ -184,33 +183,35 @@
         ),
     ):
         log.propose(command).get(timeout=5)
-    refuse(1)
+    fail_next_writes(1)
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER"):
         log.propose(agreed.ForgetBox("nobody")).get(timeout=5)
-    wait_until(lambda: leads(view), "it leads again")
+    wait_until(lambda: has_authority(view), "the replica leads again")
     (suspect,) = log.read().suspects.all()
     assert suspect.trials == 1
     assert log.propose(agreed.GrantOwnership("engine", "box")).get(timeout=5).epoch == 2
 
 
-def test_whoever_is_told_that_a_disk_refused_finds_no_authority(start, refuse_writes, monkeypatch):
-    """Whoever proposed was told first, and for a moment still saw a box that leads.
+def test_authority_is_withdrawn_before_proposals_fail_on_a_disk_error(
+    start, failing_disk, monkeypatch
+):
+    """Guards against failing proposals before the loss of authority is published.
 
-    Nobody has seen it; found at the read of the test above, which waits for the box to lead again
-    and could have taken the leadership before for it.
+    A proposer then still saw a box with authority for a moment; the test above could have mistaken
+    that for the regained one. Found in review, not observed in operation.
     """
-    open_file, refuse = refuse_writes
+    open_file, fail_next_writes = failing_disk
     _, view, log = start(open_file=open_file)
-    wait_until(lambda: leads(view), "it leads")
-    seen = []
-    fail = proposals.Propose.fail
+    wait_until(lambda: has_authority(view), "the replica leads")
+    authority_at_failure = []
+    fail = proposals.Proposal.fail
 
     def watched(proposal, *args):
-        seen.append(leads(view))
+        authority_at_failure.append(has_authority(view))
         fail(proposal, *args)
 
-    monkeypatch.setattr(proposals.Propose, "fail", watched)
-    refuse(1)
+    monkeypatch.setattr(proposals.Proposal, "fail", watched)
+    fail_next_writes(1)
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER"):
         log.propose(agreed.ForgetBox("nobody")).get(timeout=5)
-    assert seen == [False]
+    assert authority_at_failure == [False]
--- a/testing/controllers/test_stopped_controllers.py
+++ b/testing/controllers/test_stopped_controllers.py
@@ -1,4 +1,4 @@
-"""What request threads meet while their box stops: its controllers end before they do."""
+"""Request threads that are still running after the controllers of their box have stopped."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 @pytest.fixture
-def known():
-    """Return what a router knows whose controller of it has stopped."""
+def suspicions():
+    """Return a router's suspicion state after its controller has stopped."""
     counters = metrics.Metrics()
     made = suspicion.Suspicion(clocks.ManualClock(), counters)
     view = actors.View(router_state.RouterState())
@@ -32,21 +32,21 @@
     return made
 
 
-def test_a_connection_that_breaks_off_then_fails_no_request(known):
+def test_broken_connection_after_the_stop_raises_nothing(suspicions):
     attempt = attempts.Attempt(1, "e")
-    known.begin(ENDPOINT, REQUEST, attempt)
-    known.end(ENDPOINT, REQUEST, attempt, doubts.Ending.BROKE)
+    suspicions.begin(ENDPOINT, REQUEST, attempt)
+    suspicions.end(ENDPOINT, REQUEST, attempt, doubts.Ending.BROKE)
 
 
-def test_what_is_met_then_is_kept(known):
+def test_crashes_seen_after_the_stop_are_recorded(suspicions):
     attempt = attempts.Attempt(1, "e")
-    known.begin(ENDPOINT, REQUEST, attempt)
-    known.end(ENDPOINT, REQUEST, attempt, doubts.Ending.GIVEN_UP)
-    known.looked(ENDPOINT, listens=False)
-    assert {each.fingerprint for each in known.news().crashes} == {"f", "part-a"}
+    suspicions.begin(ENDPOINT, REQUEST, attempt)
+    suspicions.end(ENDPOINT, REQUEST, attempt, doubts.Ending.GIVEN_UP)
+    suspicions.looked(ENDPOINT, listens=False)
+    assert {each.fingerprint for each in suspicions.news().crashes} == {"f", "part-a"}
 
 
-def test_a_command_for_the_log_of_a_box_that_has_stopped_fails_and_has_not_counted():
+def test_command_proposed_after_the_stop_fails_as_not_run():
     stopped = actors.Controller.start()
     stopped.stop()
     log = replica.ReplicatedLog(stopped, agreed.AgreedState())
