--- a/src/croftpulley/bench/rests.py
+++ b/src/croftpulley/bench/rests.py
@@ -55,7 +55,7 @@
 
     in_flight: int = 0
     served: int = 0
-    window: window.Window = attrs.field(factory=window.Window)
+    window: window.CongestionWindow = attrs.field(factory=window.CongestionWindow)
 
 
 class Reopening(abc.ABC):
@@ -191,7 +191,7 @@
     Way(name="doubling", reopening=Doubling()),
     Way(name="window", reopening=Windowed()),
     Way(name="window_held", reopening=Windowed(), waiting=Held(longest_s=0.4)),
-    Way(name="window_spread", reopening=Windowed(), waiting=Refused(spread=returns.SPREAD)),
+    Way(name="window_spread", reopening=Windowed(), waiting=Refused(spread=returns.JITTER_SHARE)),
 )
 """``window_spread`` is what routers do; the others differ from ``own`` in one thing each."""
 
@@ -356,7 +356,7 @@
     def _may_send(self, box: _Box, number: int) -> bool:
         if not self._way.obeys:
             return True
-        if box.said[number].binds(self._now_s):
+        if box.said[number].is_in_effect(self._now_s):
             return False
         if self._way.sharing is Sharing.BINDING and self._now_s < box.told_until_s[number]:
             return False
@@ -366,7 +366,7 @@
     def _opens_in_s(self, box: _Box) -> float:
         ends_s = [each.until_s - self._now_s for each in box.said]
         # Those that take requests again, but have as many of this box as they may, open soon.
-        return max(returns.ELSEWHERE_S, min(ends_s))
+        return max(returns.MIN_WAIT_S, min(ends_s))
 
     def _depart(self, box: _Box, caller: _Caller, number: int, tried: frozenset[int]) -> None:
         box.sent[number] += 1
@@ -416,24 +416,24 @@
         tried |= {number}
         if self._choose(box, tried) is None:
             self._refuse(caller, self._told_s(box, caller))
-        elif box.budget.take(self._now_s, 1 / len(self._boxes)).is_granted:
+        elif box.budget.acquire(self._now_s, 1 / len(self._boxes)).is_granted:
             self._send(box, caller, tried)
         else:
-            self._refuse(caller, returns.ELSEWHERE_S)
+            self._refuse(caller, returns.MIN_WAIT_S)
 
     def _rest(self, box: _Box, number: int) -> None:
         """Take it that an endpoint has asked a box for rest."""
         opening, said = box.openings[number], box.said[number]
-        if not said.binds(self._now_s):
+        if not said.is_in_effect(self._now_s):
             opening.window.turned_away(opening.in_flight, self._now_s)
         opening.served = 0
         opening.in_flight -= 1
         box.sent[number] -= 1
-        said.hear(withdrawal.Notice(rest_s=self._day.rest_s), self._now_s)
+        said.apply(withdrawal.Notice(rest_s=self._day.rest_s), self._now_s)
 
     def _told_s(self, box: _Box, caller: _Caller) -> float:
         """Return when a caller that is refused is told to come back."""
-        place = returns.place(0 if caller.is_urgent else 9, self._chance.random())
+        place = returns.queue_position(0 if caller.is_urgent else 9, self._chance.random())
         left_s = caller.left_s(self._now_s)
         return self._way.waiting.told_s(self._opens_in_s(box), left_s, place)
 
--- a/src/croftpulley/controllers/gate.py
+++ b/src/croftpulley/controllers/gate.py
@@ -95,7 +95,7 @@
                 mean_evidence=mean_evidence,
                 slots=owned.slots,
             )
-            if owned.said.binds(self._clock.monotonic_s()) and not owned.said.leaves:
+            if owned.said.is_in_effect(self._clock.monotonic_s()) and not owned.said.leaves:
                 return NotAdmitted(codes.ResultCode.ENDPOINTS_RESTING, -1)
             leaving = owned.engine.leaving or owned.said.leaves
             code = admission.refusal(owned.count, limits, leaving=leaving)
@@ -121,7 +121,7 @@
             owned = self._owned.get(engine)
             if owned is None or owned.ownership.epoch != epoch:
                 return
-            heard = owned.said.hear(notice, self._clock.monotonic_s())
+            heard = owned.said.apply(notice, self._clock.monotonic_s())
         if heard.rests:
             events.emit(
                 _LOG,
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -191,7 +191,7 @@
         if not pool.heard.room:
             # No endpoint may be asked: placing the request tells its caller why.
             return float("inf")
-        chance = returns.chance(f"{self._box_name}/{name}")
+        chance = returns.hash_fraction(f"{self._box_name}/{name}")
         return permits.whole(pool.heard.part(now_s), chance)
 
     def _heard(self, name: str, pool: _Pool, state: router_state.RouterState) -> permits.Heard:
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -139,8 +139,8 @@
         self._forgetting: set[str] = set()
         self._forget_at_s: dict[str, float] = {}
         self._bulletin = places.Bulletin()
-        self._outcomes = outcomes.Outcomes()
-        self._answering = answering.Answering()
+        self._outcomes = outcomes.OutlierDetector()
+        self._answering = answering.RecentPoolResponses()
         self._unreached: dict[str, frozenset[str]] = {}
         self._order = _Order()
         self._versions = version_notes.VersionNotes(log, clock)
@@ -282,7 +282,9 @@
             held_off=self._outcomes.held(self._clock.monotonic_s()),
             unreached={pool: len(names) for pool, names in self._unreached.items()},
             reaching={pool: self._some_reaching(pool) for pool in report.unreached},
-            answering=self._answering.by_others(report.box.name, self._clock.monotonic_s()),
+            answering=self._answering.pools_answering_others(
+                report.box.name, self._clock.monotonic_s()
+            ),
             mixed=self._mixed(listed),
             suspects=state.suspects.bulletin.since(report.suspects_revision, self._clock.wall_s()),
             evacuated=state.evacuated.unless(report.halls_revision),
@@ -362,8 +364,10 @@
         for each in self._endpoints.get().endpoints.value:
             if not each.leaving and each.hall not in evacuated:
                 pools.setdefault(each.pool, []).append(each.key)
-        self._outcomes.keep({name for names in pools.values() for name in names})
-        for judgement in self._outcomes.judge([tuple(names) for names in pools.values()], now_s):
+        self._outcomes.retain({name for names in pools.values() for name in names})
+        for judgement in self._outcomes.hold_off_outliers(
+            [tuple(names) for names in pools.values()], now_s
+        ):
             events.emit(
                 _LOG,
                 events.Event.ENDPOINT_HELD_OFF,
@@ -371,7 +375,7 @@
                 endpoint=judgement.endpoint,
                 failed=round(judgement.failed, 1),
                 requests=round(judgement.total, 1),
-                peers_failed_share=round(judgement.peers_share, 3),
+                peers_failed_share=round(judgement.peers_failure_rate, 3),
                 hold_s=judgement.hold_s,
             )
 
--- a/src/croftpulley/controllers/suspicion.py
+++ b/src/croftpulley/controllers/suspicion.py
@@ -39,7 +39,7 @@
 the oldest go first."""
 
 
-_UNTOLD = suspect_messages.Told("", 0)
+_UNTOLD = suspect_messages.SuspectSummary("", 0)
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
     refused_for_s: float = 0.0
     put_off_for_s: float = 0.0
     """How long no trial is asked for: one was not granted just now."""
-    told: suspect_messages.Told = _UNTOLD
+    told: suspect_messages.SuspectSummary = _UNTOLD
 
     @property
     def needs_trial(self) -> bool:
@@ -72,7 +72,7 @@
 class _Heard:
     """A suspect as the leading control box told it, with the end of its refusal here."""
 
-    told: suspect_messages.Told
+    told: suspect_messages.SuspectSummary
     refused_until_s: float = 0.0
 
 
@@ -93,7 +93,7 @@
         self._clock = clock
         self._counters = counters
         self._lock = threading.Lock()
-        self._doubts = doubts.Doubts()
+        self._doubts = doubts.CrashCandidates()
         self._heard: dict[str, _Heard] = {}
         self._revision = 0
         self._crashes: dict[suspect_messages.Crash, None] = {}
@@ -113,7 +113,7 @@
         """The revision of the suspects that this router was told of."""
         return self._revision
 
-    def learn(self, change: suspect_messages.Change | None) -> None:
+    def learn(self, change: suspect_messages.SuspectsUpdate | None) -> None:
         """Take what the leading control box tells."""
         if change is None:
             return
@@ -131,7 +131,7 @@
             cleared = [
                 told.fingerprint
                 for told in change.suspects
-                if self._survivals.since(told.fingerprint, told.pools, since_s)
+                if self._survivals.has_survived_since(told.fingerprint, told.pools, since_s)
             ]
             for feature in cleared:
                 self._clear(feature)
@@ -181,10 +181,13 @@
     def unclear(self, fingerprint: str) -> tuple[str, ...]:
         """Return the lives of endpoints where it broke off lately, and it is not known why."""
         with self._lock:
-            return self._doubts.broke_lately(fingerprint, self._clock.monotonic_s())
+            return self._doubts.unexplained_breaks(fingerprint, self._clock.monotonic_s())
 
     def begin(
-        self, endpoint: membership.Endpoint, request: doubts.Named, attempt: attempts.Attempt
+        self,
+        endpoint: membership.Endpoint,
+        request: doubts.RequestIdentity,
+        attempt: attempts.Attempt,
     ) -> None:
         """Note that a request is about to be sent to an endpoint."""
         with self._lock:
@@ -193,7 +196,7 @@
     def end(
         self,
         endpoint: membership.Endpoint,
-        request: doubts.Named,
+        request: doubts.RequestIdentity,
         attempt: attempts.Attempt,
         ending: doubts.Ending,
     ) -> None:
@@ -209,12 +212,15 @@
             self.on_broke(endpoint)
 
     def writes(
-        self, endpoint: membership.Endpoint, request: doubts.Named, attempt: attempts.Attempt
+        self,
+        endpoint: membership.Endpoint,
+        request: doubts.RequestIdentity,
+        attempt: attempts.Attempt,
     ) -> None:
         """Note that an answer has gone on for so long that no part of its prompt ends endpoints."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._doubts.writes(endpoint.key, attempt)
+            self._doubts.clear_parts(endpoint.key, attempt)
             is_cleared = self._parts_survived(request, now_s)
         if is_cleared:
             self.on_news()
@@ -223,7 +229,7 @@
         """Note that an endpoint has begun a success: what it closed before was whole."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            whole = self._doubts.lives_on(endpoint.key, now_s)
+            whole = self._doubts.confirm_alive(endpoint.key, now_s)
             cleared = [self._survived(each, now_s) for each in whole]
         if any(cleared):
             self.on_news()
@@ -233,10 +239,10 @@
         now_s = self._clock.monotonic_s()
         with self._lock:
             if listens:
-                self._doubts.answers(endpoint.key, now_s)
+                self._doubts.note_reachable(endpoint.key, now_s)
             if listens is not False:
                 return
-            in_doubt = self._doubts.ended(endpoint.key, now_s)
+            in_doubt = self._doubts.conclude_ended(endpoint.key, now_s)
             self._add_crashes(endpoint.key, in_doubt)
         self._announce(endpoint.key, "refuses connections", in_doubt)
 
@@ -244,7 +250,7 @@
         """Take the list of endpoints: one that vanished without leaving has ended."""
         leaving = {each.key: each.leaving for each in endpoints}
         with self._lock:
-            vanished = self._doubts.keep(leaving, self._clock.monotonic_s())
+            vanished = self._doubts.update_listed(leaving, self._clock.monotonic_s())
             for life, in_doubt in vanished.items():
                 self._add_crashes(life, in_doubt)
         for life, in_doubt in vanished.items():
@@ -286,16 +292,18 @@
         """
         feature = crash.fingerprint
         if fingerprints.is_part(feature) and feature not in self._heard:
-            self._heard[feature] = _Heard(suspect_messages.Told(feature, 1, pools=(crash.pool,)))
+            self._heard[feature] = _Heard(
+                suspect_messages.SuspectSummary(feature, 1, pools=(crash.pool,))
+            )
 
-    def _survived(self, request: doubts.Named, now_s: float) -> bool:
+    def _survived(self, request: doubts.RequestIdentity, now_s: float) -> bool:
         """Take it that a request was answered whole; tell whether that clears anything."""
         is_cleared = self._speaks_against(request.fingerprint)
         if is_cleared:
             self._clear(request.fingerprint)
         return self._parts_survived(request, now_s) or is_cleared
 
-    def _parts_survived(self, request: doubts.Named, now_s: float) -> bool:
+    def _parts_survived(self, request: doubts.RequestIdentity, now_s: float) -> bool:
         if not request.parts:
             return False
         self._survivals.note(request.pool, request.parts, now_s)
@@ -343,17 +351,19 @@
         while len(self._crashes) > MOST_PENDING:
             self._drop_crash(next(iter(self._crashes)))
 
-    def _add_crashes(self, life: str, in_doubt: tuple[doubts.Named, ...]) -> None:
+    def _add_crashes(self, life: str, in_doubt: tuple[doubts.RequestIdentity, ...]) -> None:
         if self._ends_by_itself(life):
             return
         since_s = self._clock.monotonic_s() - SURVIVED_S
         for each in in_doubt:
             pools = (each.pool,)
-            parts = [x for x in each.parts if not self._survivals.since(x, pools, since_s)]
+            parts = [
+                x for x in each.parts if not self._survivals.has_survived_since(x, pools, since_s)
+            ]
             for feature in (each.fingerprint, *parts):
                 self._add_crash(suspect_messages.Crash(feature, each.workspace, life, each.pool))
 
-    def _announce(self, life: str, sign: str, in_doubt: tuple[doubts.Named, ...]) -> None:
+    def _announce(self, life: str, sign: str, in_doubt: tuple[doubts.RequestIdentity, ...]) -> None:
         if not in_doubt:
             return
         self._counters.endpoint_ended(sign)
@@ -370,7 +380,7 @@
         self.on_news()
 
 
-def _parts(in_doubt: Iterable[doubts.Named]) -> list[str]:
+def _parts(in_doubt: Iterable[doubts.RequestIdentity]) -> list[str]:
     """Return the parts that may have ended an endpoint, each once."""
     return list(dict.fromkeys(part for each in in_doubt for part in each.parts))[:MOST_REPORTED]
 
--- a/src/croftpulley/controllers/traffic.py
+++ b/src/croftpulley/controllers/traffic.py
@@ -54,7 +54,7 @@
         self._pace = cold.Pace.started(clock.monotonic_s())
         self._heard = heard_loads.HeardLoads()
         self._shares_room = shares_room
-        self._brittle = brittle.Brittle()
+        self._brittle = brittle.BrittleEndpoints()
 
     def enter(self, endpoint: str) -> None:
         """Count a request in."""
@@ -91,7 +91,7 @@
             record.reading_tokens += tokens
 
         with self._lock:
-            self._records.change(engine, count)
+            self._records.update(engine, count)
             for part in facts.shared:
                 self._records.note_own(places.Note(part.part, engine), now_s)
 
@@ -124,7 +124,7 @@
     def give_back_notes(self, notes: places.Notes) -> None:
         """Take back notes that reached nobody; they go out with the next report."""
         with self._lock:
-            self._records.give_back_notes(notes)
+            self._records.requeue_notes(notes)
 
     def learn_notes(self, notes: places.Notes) -> None:
         """Take the notes of other boxes, and one's own once more."""
@@ -150,7 +150,7 @@
         age_s = now_s - state.loads_at_s
         read_since = self._rates.read_tokens_a_ms * 1000 * age_s
         with self._lock:
-            differs = heard.reads | held_tokens.keys() | self._records.present()
+            differs = heard.reads | held_tokens.keys() | self._records.recorded_keys()
             return [
                 self._candidate(each, read_since, held_tokens, now_s)
                 if each.name in differs
@@ -170,9 +170,9 @@
         return selection.Candidate(
             name=heard.name,
             hall=heard.hall,
-            load=max(heard.load + own.in_flight, own.told_present(now_s)),
-            avoid_until_s=max(heard.avoid_until_s, own.trust.avoid_until_s),
-            withdrawn_until_s=max(own.withdrawal.until_s, own.trust.away_until_s),
+            load=max(heard.load + own.in_flight, own.reported_requests(now_s)),
+            avoid_until_s=max(heard.avoid_until_s, own.backoff.avoid_until_s),
+            withdrawn_until_s=max(own.withdrawal.until_s, own.backoff.blocked_until_s),
             is_full=own.is_full,
             reading_tokens=others_reading + own.reading_tokens,
             held_tokens=held_tokens.get(heard.name, 0),
@@ -184,33 +184,33 @@
         now_s = self._clock.monotonic_s()
 
         def note(record: records.Record) -> None:
-            record.ended_badly += 1
-            record.trust.failed(now_s)
+            record.failed += 1
+            record.backoff.failed(now_s)
 
         self._change(endpoint, note)
 
     def avoid(self, endpoint: str) -> None:
         """Have this box avoid an endpoint for a while, whoever is to blame."""
         now_s = self._clock.monotonic_s()
-        self._change(endpoint, lambda record: record.trust.failed(now_s))
+        self._change(endpoint, lambda record: record.backoff.failed(now_s))
 
     def trust_again(self, endpoints: Iterable[str]) -> None:
         """Have this box avoid endpoints no more."""
         with self._lock:
             for each in endpoints:
-                self._records.change(each, lambda record: record.trust.answered())
+                self._records.update(each, lambda record: record.backoff.answered())
 
     def gone(self, endpoint: str) -> None:
         """Note that another endpoint has an endpoint's address."""
         now_s = self._clock.monotonic_s()
-        self._change(endpoint, lambda record: record.trust.gone(now_s))
+        self._change(endpoint, lambda record: record.backoff.address_reused(now_s))
 
     def answered(self, endpoint: str) -> None:
         """Note a whole answer that is no error of the endpoint's."""
 
         def note(record: records.Record) -> None:
-            record.ended_well += 1
-            record.trust.answered()
+            record.succeeded += 1
+            record.backoff.answered()
 
         self._change(endpoint, note)
 
@@ -218,23 +218,23 @@
         """Note an answer that is an error of the endpoint's: it works, if not for this request."""
 
         def note(record: records.Record) -> None:
-            record.ended_badly += 1
+            record.failed += 1
 
         self._change(endpoint, note)
 
-    def hear(self, endpoint: str, notice: withdrawal.Notice) -> withdrawal.Heard:
+    def hear(self, endpoint: str, notice: withdrawal.Notice) -> withdrawal.NoticeNews:
         """Take what an endpoint says of itself in an answer whose head has just been read."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            return self._records.hear(endpoint, notice, now_s)
+            return self._records.apply_notice(endpoint, notice, now_s)
 
-    def hear_load(self, endpoint: str, told: told_load.ToldLoad) -> None:
+    def hear_load(self, endpoint: str, told: told_load.ReportedLoad) -> None:
         """Take what an endpoint tells of its load in an answer whose head has just been read."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             self._shares_room = self._shares_room or told.time_percent is not None
             if self._shares_room:
-                self._records.hear_load(endpoint, told, now_s)
+                self._records.store_load_report(endpoint, told, now_s)
 
     @property
     def shares_room(self) -> bool:
@@ -250,7 +250,7 @@
         """
         now_s = self._clock.monotonic_s()
         with self._lock:
-            return self._brittle.hear(endpoint.key, endpoint.pool, most, now_s)
+            return self._brittle.note_limit(endpoint.key, endpoint.pool, most, now_s)
 
     def most_turned_away(self, pool: str) -> int | None:
         """Return how many requests an endpoint of a pool bears to turn away in a second.
@@ -268,7 +268,7 @@
     def stay_away(self, endpoint: str, seconds_s: float) -> None:
         """Have this box avoid an endpoint for so long."""
         until_s = self._clock.monotonic_s() + seconds_s
-        self._change(endpoint, lambda record: record.trust.stay_away(until_s))
+        self._change(endpoint, lambda record: record.backoff.block_until(until_s))
 
     def bounds_room(self, pool: str) -> bool:
         """Tell whether a request needs a permit of its pool: where boxes share room, or endpoints
@@ -281,7 +281,11 @@
         now_s = self._clock.monotonic_s()
         with self._lock:
             record = self._records.get(endpoint)
-            told = record.told if record is not None and record.told_present(now_s) else None
+            told = (
+                record.reported_load
+                if record is not None and record.reported_requests(now_s)
+                else None
+            )
             return told is not None and told.is_full
 
     def accepted(self, endpoint: str) -> None:
@@ -298,7 +302,7 @@
             record = self._records.get(endpoint)
             if record is None:
                 return False
-            return record.withdrawal.binds(now_s) or now_s < record.trust.away_until_s
+            return record.withdrawal.is_in_effect(now_s) or now_s < record.backoff.blocked_until_s
 
     def sent(self, endpoint: str) -> None:
         """Note that a request has left for an endpoint."""
@@ -306,16 +310,16 @@
         with self._lock:
             self._records.sent(endpoint, now_s)
 
-    def end_rests(self) -> list[withdrawal.Ended]:
+    def end_rests(self) -> list[withdrawal.EndedRest]:
         """Forget the rests that are over and return them."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            return self._records.end_rests(now_s)
+            return self._records.expire_rests(now_s)
 
     def said_leaving(self, endpoints: Iterable[membership.Endpoint]) -> tuple[str, ...]:
         """Return which of these said that they leave, where that is not known of them."""
         with self._lock:
-            said = self._records.said_leaving()
+            said = self._records.leaving_keys()
             return tuple(each.key for each in endpoints if each.key in said and not each.leaving)
 
     def withdrawn(self) -> dict[str, withdrawal.Withdrawal]:
@@ -331,13 +335,13 @@
 
     def _change(self, endpoint: str, change: Callable[[records.Record], None]) -> None:
         with self._lock:
-            self._records.change(endpoint, change)
+            self._records.update(endpoint, change)
 
     def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
         """Forget every life of an endpoint that is listed no more."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._records.keep((each.key for each in endpoints), now_s)
+            self._records.update_listed((each.key for each in endpoints), now_s)
 
     def may_send_cold(self, endpoint: str, a_second: int) -> bool:
         """Tell whether a cold endpoint may be sent one more request now."""
@@ -369,7 +373,7 @@
         """Take one repeat from the pool's retry budget, if there is one."""
         with self._lock:
             now_s = self._clock.monotonic_s()
-            return self._budget(pool).take(now_s, self._extra_share.fraction(now_s))
+            return self._budget(pool).acquire(now_s, self._extra_share.fraction(now_s))
 
     def retry_share(self) -> float:
         """Return the share of the extra of all budgets that this box may use."""
--- a/src/croftpulley/core/answering.py
+++ b/src/croftpulley/core/answering.py
@@ -18,14 +18,14 @@
 
 
 @attrs.define
-class Answering:
+class RecentPoolResponses:
     """When each box last reported a response of each pool.
 
-    >>> heard = Answering()
-    >>> heard.note("box-1", ["llm"], 0.0)
-    >>> [heard.by_others(box, 0.5) for box in ("box-2", "box-1")]
+    >>> responses = RecentPoolResponses()
+    >>> responses.note("box-1", ["llm"], 0.0)
+    >>> [responses.pools_answering_others(box, 0.5) for box in ("box-2", "box-1")]
     [('llm',), ()]
-    >>> heard.by_others("box-2", 2.5)
+    >>> responses.pools_answering_others("box-2", 2.5)
     ()
     """
 
@@ -40,7 +40,7 @@
             # Re-inserted so that the newest report comes last.
             of_pool[box] = now_s
 
-    def by_others(self, box: str, now_s: float) -> tuple[str, ...]:
+    def pools_answering_others(self, box: str, now_s: float) -> tuple[str, ...]:
         """Return the pools, sorted, that recently responded to a box other than ``box``."""
         return tuple(
             pool
--- a/src/croftpulley/core/assembly.py
+++ b/src/croftpulley/core/assembly.py
@@ -32,10 +32,10 @@
         return self.offset_chars + len(self.text)
 
 
-def merge(chunks: list[Chunk]) -> list[Chunk]:
+def merge_adjacent(chunks: list[Chunk]) -> list[Chunk]:
     """Join adjacent chunks, so that fewer messages carry them.
 
-    >>> merge([Chunk(0, "he"), Chunk(2, "llo"), Chunk(9, "x")])
+    >>> merge_adjacent([Chunk(0, "he"), Chunk(2, "llo"), Chunk(9, "x")])
     [Chunk(offset_chars=0, text='hello'), Chunk(offset_chars=9, text='x')]
     """
     merged: list[Chunk] = []
--- a/src/croftpulley/core/attempts.py
+++ b/src/croftpulley/core/attempts.py
@@ -63,12 +63,12 @@
     phase: Phase = Phase.UNSENT
     status: int = 0
     """HTTP status, once the response head has arrived."""
-    in_doubt: bool = False
+    is_end_ambiguous: bool = False
     """Whether the attempt ended in a way that does not show if the endpoint is still alive: the
     connection broke, or a response without a length ended with its connection. Set where the
     condition is detected, since the attempt may be closed before the failure has been handled."""
 
-    is_cut: bool = False
+    is_truncated: bool = False
     """Whether the stream ended within an event although the connection reports it as complete."""
     began_s: float | None = None
     """When the first event of the response arrived."""
@@ -81,7 +81,7 @@
             raise ValueError(f"an attempt cannot go from {self.phase.name} to {phase.name}")
         self.phase = phase
 
-    def adopt(self, phase: Phase) -> None:
+    def set_reported_phase(self, phase: Phase) -> None:
         """Take over the phase reported by the box that forwards this attempt to the endpoint.
 
         For this box the attempt counts as sent once the order has left; only the other box knows
@@ -108,7 +108,7 @@
         self.attempts.append(attempt)
         return attempt
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def discard(self, attempt: Attempt) -> None:
         """Remove an attempt that was never made, so that it counts nowhere."""
         self.attempts.remove(attempt)
 
--- a/src/croftpulley/core/brittle.py
+++ b/src/croftpulley/core/brittle.py
@@ -33,12 +33,12 @@
     return int(found[0]) if found else None
 
 
-def away_s(most_turned_away: int, boxes: int) -> float:
+def backoff_s(most_turned_away: int, boxes: int) -> float:
     """Return how long a box backs off from a brittle endpoint that rejected it.
 
     ``boxes`` is how many boxes share the limit of ``most_turned_away`` rejections a second.
 
-    >>> away_s(8, 3), away_s(8, 92), away_s(0, 3)
+    >>> backoff_s(8, 3), backoff_s(8, 92), backoff_s(0, 3)
     (1.0, 23.0, 6.0)
     """
     return max(MIN_BACKOFF_S, SAFETY_FACTOR * max(1, boxes) / max(1, most_turned_away))
@@ -54,11 +54,11 @@
 
 
 @attrs.define
-class Brittle:
+class BrittleEndpoints:
     """The endpoints that announced a limit on rejections, by endpoint key.
 
-    >>> brittle = Brittle()
-    >>> brittle.hear("e", "desk", 8, 10.0), brittle.hear("e", "desk", 8, 11.0)
+    >>> brittle = BrittleEndpoints()
+    >>> brittle.note_limit("e", "desk", 8, 10.0), brittle.note_limit("e", "desk", 8, 11.0)
     (True, False)
     >>> brittle.most_turned_away("desk", 12.0), brittle.most_turned_away("desk", 16.0)
     (8, None)
@@ -66,15 +66,15 @@
 
     _announcements: dict[str, _Announcement] = attrs.field(factory=dict)
 
-    def hear(self, endpoint: str, pool: str, most: int | None, now_s: float) -> bool:
+    def note_limit(self, endpoint: str, pool: str, limit: int | None, now_s: float) -> bool:
         """Record the limit announced in a response, ``None`` if it has none; tell whether it
         changed.
         """
         known = self._announcements.pop(endpoint, None)
-        is_new = known is None or known.until_s <= now_s or known.most_turned_away != most
-        if most is None:
+        is_new = known is None or known.until_s <= now_s or known.most_turned_away != limit
+        if limit is None:
             return known is not None and known.until_s > now_s
-        self._announcements[endpoint] = _Announcement(pool, most, now_s + ANNOUNCEMENT_TTL_S)
+        self._announcements[endpoint] = _Announcement(pool, limit, now_s + ANNOUNCEMENT_TTL_S)
         return is_new
 
     def most_turned_away(self, pool: str, now_s: float) -> int | None:
--- a/src/croftpulley/core/bulletins.py
+++ b/src/croftpulley/core/bulletins.py
@@ -41,7 +41,7 @@
         found = (each.suspect for each in self.entries if each.suspect.fingerprint == fingerprint)
         return next(found, None)
 
-    def since(self, revision: int, now_wall_s: float) -> suspect_messages.Change | None:
+    def since(self, revision: int, now_wall_s: float) -> suspect_messages.SuspectsUpdate | None:
         """Return the changes after a revision, or ``None`` if there are none.
 
         All suspects are returned, with ``is_whole`` set, where the single changes are not known.
@@ -50,7 +50,7 @@
             return None
         is_whole = not self.from_revision <= revision < self.revision
         known = 0 if is_whole else revision
-        return suspect_messages.Change(
+        return suspect_messages.SuspectsUpdate(
             revision=self.revision,
             is_whole=is_whole,
             suspects=tuple(
@@ -64,9 +64,13 @@
         )
 
 
-def _to_message(suspect: suspect_rules.Suspect, now_wall_s: float) -> suspect_messages.Told:
+def _to_message(
+    suspect: suspect_rules.Suspect, now_wall_s: float
+) -> suspect_messages.SuspectSummary:
     refused_for_s = max(0.0, suspect.refused_until_wall_s - now_wall_s)
-    message = suspect_messages.Told(suspect.fingerprint, suspect.crashes, round(refused_for_s, 1))
+    message = suspect_messages.SuspectSummary(
+        suspect.fingerprint, suspect.crashes, round(refused_for_s, 1)
+    )
     if not suspect.is_part:
         return message
     return attrs.evolve(
@@ -74,5 +78,5 @@
         pools=suspect.pools,
         accused=suspect.accused,
         beside=suspect.beside,
-        has_own_trial=suspect.may_be_tried_by_others,
+        has_own_trial=suspect.has_trial_for_unaccused,
     )
--- a/src/croftpulley/core/doubts.py
+++ b/src/croftpulley/core/doubts.py
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Named:
+class RequestIdentity:
     """A request, identified by what stays the same when it is sent again.
 
     ``parts`` are the features of the shared parts of its prompt (`core.fingerprints`).
@@ -64,7 +64,7 @@
 class _OpenAttempt:
     """An attempt under way."""
 
-    request: Named
+    request: RequestIdentity
     attempt: attempts.Attempt
 
     @property
@@ -77,7 +77,7 @@
 class _EndedAttempt:
     """An attempt that ended without proof that the endpoint survived it."""
 
-    request: Named
+    request: RequestIdentity
     ending: Ending
     at_s: float
 
@@ -96,7 +96,7 @@
     reachable_at_s: float = float("-inf")
     """When its address last accepted a connection."""
 
-    def candidates(self, since_s: float) -> tuple[Named, ...]:
+    def candidates(self, since_s: float) -> tuple[RequestIdentity, ...]:
         """Return the requests under way and those whose attempt ended at or after ``since_s``."""
         recently_ended = [each.request for each in self.ended if each.at_s >= since_s]
         # A request that still waits for its connection has not started to run.
@@ -107,7 +107,7 @@
         """Drop the attempts that ended long enough ago: the endpoint is alive after them."""
         self.ended = [each for each in self.ended if now_s - each.at_s < RECENT_CANDIDATE_S]
 
-    def pop_closed(self, before_s: float) -> tuple[Named, ...]:
+    def pop_closed(self, before_s: float) -> tuple[RequestIdentity, ...]:
         """Remove closed attempts that ended before ``before_s``; return their requests."""
         whole = [each for each in self.ended if each.was_closed(before_s)]
         self.ended = [each for each in self.ended if not each.was_closed(before_s)]
@@ -124,15 +124,16 @@
 
 
 @attrs.define
-class Doubts:
+class CrashCandidates:
     """The crash candidates that one router knows, by incarnation of an endpoint.
 
-    >>> doubts, request, attempt = Doubts(), Named("f", "clinic"), attempts.Attempt(1, "e")
-    >>> doubts.begin("e", request, attempt)
-    >>> doubts.end("e", request, attempt, Ending.BROKE, 1.0)
-    >>> doubts.broke_lately("f", 1.0), doubts.ended("e", 1.1) == (request,)
+    >>> candidates = CrashCandidates()
+    >>> request, attempt = RequestIdentity("f", "clinic"), attempts.Attempt(1, "e")
+    >>> candidates.begin("e", request, attempt)
+    >>> candidates.end("e", request, attempt, Ending.BROKE, 1.0)
+    >>> candidates.unexplained_breaks("f", 1.0), candidates.conclude_ended("e", 1.1) == (request,)
     (('e',), True)
-    >>> doubts.broke_lately("f", 1.1)
+    >>> candidates.unexplained_breaks("f", 1.1)
     ()
     """
 
@@ -141,7 +142,7 @@
     _leaving: dict[str, bool] = attrs.field(factory=dict)
     """Whether each incarnation of the last list was shutting down."""
 
-    def begin(self, incarnation: str, request: Named, attempt: attempts.Attempt) -> None:
+    def begin(self, incarnation: str, request: RequestIdentity, attempt: attempts.Attempt) -> None:
         """Record that a request is about to be sent."""
         self._incarnations.setdefault(incarnation, _Incarnation()).open[id(attempt)] = _OpenAttempt(
             request, attempt
@@ -150,7 +151,7 @@
     def end(
         self,
         incarnation: str,
-        request: Named,
+        request: RequestIdentity,
         attempt: attempts.Attempt,
         ending: Ending,
         now_s: float,
@@ -172,7 +173,7 @@
         if known.is_empty:
             del self._incarnations[incarnation]
 
-    def writes(self, incarnation: str, attempt: attempts.Attempt) -> None:
+    def clear_parts(self, incarnation: str, attempt: attempts.Attempt) -> None:
         """Clear the parts of a request's prompt: its response has continued for too long for any of
         them to crash the endpoint.
         """
@@ -186,12 +187,12 @@
         """Tell whether the incarnation is known to have ended."""
         return incarnation in self._ended_at_s
 
-    def answers(self, incarnation: str, now_s: float) -> None:
+    def note_reachable(self, incarnation: str, now_s: float) -> None:
         """Record that an incarnation's address accepts connections."""
         if incarnation in self._incarnations:
             self._incarnations[incarnation].reachable_at_s = now_s
 
-    def lives_on(self, incarnation: str, now_s: float) -> tuple[Named, ...]:
+    def confirm_alive(self, incarnation: str, now_s: float) -> tuple[RequestIdentity, ...]:
         """Record that a response begins; return the requests that this proves complete.
 
         These are earlier responses that had no length and ended with their connection. A connection
@@ -203,7 +204,7 @@
             return ()
         return known.pop_closed(now_s - RECENT_CANDIDATE_S)
 
-    def broke_lately(self, fingerprint: str, now_s: float) -> tuple[str, ...]:
+    def unexplained_breaks(self, fingerprint: str, now_s: float) -> tuple[str, ...]:
         """Return the incarnations where the request broke recently and the reason is unknown."""
         return tuple(
             name
@@ -215,13 +216,15 @@
             )
         )
 
-    def ended(self, incarnation: str, now_s: float) -> tuple[Named, ...]:
+    def conclude_ended(self, incarnation: str, now_s: float) -> tuple[RequestIdentity, ...]:
         """Conclude that an incarnation ended as its address refuses connections; return the
         candidates.
         """
         return self._conclude(incarnation, now_s, RECENT_CANDIDATE_S)
 
-    def keep(self, leaving: dict[str, bool], now_s: float) -> dict[str, tuple[Named, ...]]:
+    def update_listed(
+        self, leaving: dict[str, bool], now_s: float
+    ) -> dict[str, tuple[RequestIdentity, ...]]:
         """Take the listed incarnations and whether each is shutting down; return crash candidates.
 
         The result has the candidates of each incarnation that is missing from the list. One that
@@ -249,7 +252,9 @@
             if now_s - at_s < _ENDED_TTL_S
         }
 
-    def _conclude(self, incarnation: str, now_s: float, within_s: float) -> tuple[Named, ...]:
+    def _conclude(
+        self, incarnation: str, now_s: float, within_s: float
+    ) -> tuple[RequestIdentity, ...]:
         """Record an incarnation's end; return its candidates of the last ``within_s``.
 
         Returns nothing if the end was recorded before.
@@ -280,7 +285,7 @@
 
     >>> survivals = Survivals()
     >>> survivals.note("llm", ("part-a", "part-b"), 5.0)
-    >>> [survivals.since("part-a", (pool,), 4.0) for pool in ("llm", "desk")]
+    >>> [survivals.has_survived_since("part-a", (pool,), 4.0) for pool in ("llm", "desk")]
     [True, False]
     """
 
@@ -296,7 +301,7 @@
         while len(of_pool) > _MAX_SURVIVED_PARTS:
             del of_pool[next(iter(of_pool))]
 
-    def since(self, part: str, pools: Iterable[str], since_s: float) -> bool:
+    def has_survived_since(self, part: str, pools: Iterable[str], since_s: float) -> bool:
         """Tell whether any of these pools survived the part at or after ``since_s``."""
         return any(
             self._at_s.get(pool, _NOTHING).get(part, float("-inf")) >= since_s for pool in pools
--- a/src/croftpulley/core/event_cut.py
+++ b/src/croftpulley/core/event_cut.py
@@ -8,13 +8,13 @@
 _ID_LINE = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 
 
-class EventCutter:
+class EventSplitter:
     """Buffers bytes and returns complete events.
 
-    >>> cutter = EventCutter()
-    >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), cutter.last_id
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), splitter.last_id
     (b'id: 1\\ndata: a\\n\\n', '1')
-    >>> cutter.feed(b"ta: b\\n\\n"), cutter.last_id, cutter.is_between_events
+    >>> splitter.feed(b"ta: b\\n\\n"), splitter.last_id, splitter.is_between_events
     (b'id: 2\\ndata: b\\n\\n', '2', True)
     """
 
--- a/src/croftpulley/core/fingerprints.py
+++ b/src/croftpulley/core/fingerprints.py
@@ -55,14 +55,14 @@
 
 
 @functools.lru_cache(maxsize=_NAME_CACHE_SIZE)
-def of_part(part: str) -> str:
+def part_feature(part: str) -> str:
     """Return the feature name of a prompt part.
 
     Part names are usually hexadecimal digits, in upper or lower case.
 
-    >>> of_part("91BD3f06"), is_part(of_part("91"))
+    >>> part_feature("91BD3f06"), is_part(part_feature("91"))
     ('part-91bd3f06', True)
-    >>> of_part("a/b") == of_part("a/c")
+    >>> part_feature("a/b") == part_feature("a/c")
     False
     """
     name = part.lower()
--- a/src/croftpulley/core/outcomes.py
+++ b/src/croftpulley/core/outcomes.py
@@ -59,19 +59,19 @@
     endpoint: str
     failed: float
     total: float
-    peers_share: float
+    peers_failure_rate: float
     hold_s: float
 
 
 @attrs.define
-class Outcomes:
+class OutlierDetector:
     """Outcomes and holds of all endpoints, at the control leader.
 
-    >>> outcomes = Outcomes()
-    >>> outcomes.add({"a": (1, 4), "b": (9, 0), "c": (9, 1)}, 10.0)
-    >>> [each.endpoint for each in outcomes.judge([("a", "b", "c")], 10.0)]
+    >>> detector = OutlierDetector()
+    >>> detector.add({"a": (1, 4), "b": (9, 0), "c": (9, 1)}, 10.0)
+    >>> [each.endpoint for each in detector.hold_off_outliers([("a", "b", "c")], 10.0)]
     ['a']
-    >>> outcomes.held(12.0), outcomes.held(14.0)
+    >>> detector.held(12.0), detector.held(14.0)
     (('a',), ())
     """
 
@@ -85,7 +85,7 @@
             record.succeeded += succeeded
             record.failed += failed
 
-    def judge(self, pools: Iterable[tuple[str, ...]], now_s: float) -> list[Hold]:
+    def hold_off_outliers(self, pools: Iterable[tuple[str, ...]], now_s: float) -> list[Hold]:
         """Hold off endpoints that fail more than their peers; return the new holds.
 
         Never more than half of a pool is held off at once.
@@ -99,12 +99,12 @@
             for name, record in records.items():
                 if held + 1 > len(pool) / 2 or record.held_until_s > now_s:
                     continue
-                peers_share = _failure_rate_of_others(name, records)
-                if _fails_more(record, peers_share):
+                peers_failure_rate = _failure_rate_of_others(name, records)
+                if _fails_more(record, peers_failure_rate):
                     failed, total = record.failed, record.total
                     _start_hold(record, now_s)
                     held += 1
-                    holds.append(Hold(name, failed, total, peers_share, record.hold_s))
+                    holds.append(Hold(name, failed, total, peers_failure_rate, record.hold_s))
         return holds
 
     def held(self, now_s: float) -> tuple[str, ...]:
@@ -113,7 +113,7 @@
             name for name, record in sorted(self._records.items()) if record.held_until_s > now_s
         )
 
-    def keep(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Drop all endpoints but these."""
         for name in set(self._records) - endpoints:
             del self._records[name]
@@ -126,11 +126,11 @@
     return sum(each.failed for each in others) / total if total > 0 else 0.0
 
 
-def _fails_more(record: _Record, peers_share: float) -> bool:
+def _fails_more(record: _Record, peers_failure_rate: float) -> bool:
     """Tell whether an endpoint fails clearly more often than its peers."""
     if record.failed < MIN_FAILURES:
         return False
-    return record.failed / record.total >= MIN_EXCESS + 2 * peers_share
+    return record.failed / record.total >= MIN_EXCESS + 2 * peers_failure_rate
 
 
 def _start_hold(record: _Record, now_s: float) -> None:
--- a/src/croftpulley/core/records.py
+++ b/src/croftpulley/core/records.py
@@ -23,26 +23,26 @@
 
     in_flight: int = 0
     reading_tokens: int = 0
-    trust: trust.FailureBackoff = attrs.field(factory=trust.FailureBackoff)
-    ended_well: int = 0
-    ended_badly: int = 0
+    backoff: trust.FailureBackoff = attrs.field(factory=trust.FailureBackoff)
+    succeeded: int = 0
+    failed: int = 0
     withdrawal: withdrawal.Withdrawal = attrs.field(factory=withdrawal.Withdrawal)
-    window: window.Window = attrs.field(factory=window.Window)
-    told: told_load.ToldLoad | None = None
-    told_at_s: float = float("-inf")
+    window: window.CongestionWindow = attrs.field(factory=window.CongestionWindow)
+    reported_load: told_load.ReportedLoad | None = None
+    reported_load_at_s: float = float("-inf")
 
-    def told_present(self, now_s: float) -> int:
+    def reported_requests(self, now_s: float) -> int:
         """Return the endpoint's reported number of requests, 0 without a fresh report."""
-        if self.told is None or now_s >= self.told_at_s + told_load.REPORT_TTL_S:
+        if self.reported_load is None or now_s >= self.reported_load_at_s + told_load.REPORT_TTL_S:
             return 0
-        return self.told.present
+        return self.reported_load.request_count
 
     @property
     def is_blank(self) -> bool:
         """Tell whether the record equals a new one."""
-        counted = self.in_flight or self.reading_tokens or self.ended_well or self.ended_badly
+        counted = self.in_flight or self.reading_tokens or self.succeeded or self.failed
         spoken = not (self.withdrawal.is_blank and self.window.is_blank)
-        return not counted and self.trust.is_blank and not spoken and self.told is None
+        return not counted and self.backoff.is_blank and not spoken and self.reported_load is None
 
     @property
     def is_full(self) -> bool:
@@ -54,12 +54,12 @@
 class Records:
     """All endpoint records of a router, and where prompt parts are cached.
 
-    Every key is accepted until the first list (`keep`), afterwards only listed ones.
+    Every key is accepted until the first list (`update_listed`), afterwards only listed ones.
 
     >>> records = Records()
-    >>> records.change("w@1", lambda record: record.trust.failed(0.0))
-    >>> records.keep({"w@2"}, 1.0)
-    >>> records.change("w@1", lambda record: record.trust.failed(9.0))
+    >>> records.update("w@1", lambda record: record.backoff.failed(0.0))
+    >>> records.update_listed({"w@2"}, 1.0)
+    >>> records.update("w@1", lambda record: record.backoff.failed(9.0))
     >>> records.get("w@1") is None, records.note(places.Note("part", "w@1"), 9.0)
     (True, False)
     """
@@ -69,7 +69,7 @@
     _new_notes: list[places.Note] = attrs.field(factory=list)
     _listed: frozenset[str] | None = None
 
-    def keep(self, listed: Iterable[str], now_s: float) -> None:
+    def update_listed(self, listed: Iterable[str], now_s: float) -> None:
         """Take the keys of all listed incarnations; drop the state of all others.
 
         The withdrawal of an unlisted one is kept for as long as it applies.
@@ -96,14 +96,14 @@
         """Return the record of an incarnation, ``None`` if there is none."""
         return self._records.get(key)
 
-    def change(self, key: str, change: Callable[[Record], None]) -> None:
-        """Apply ``change`` to the record of a listed incarnation; drop it if it is blank
+    def update(self, key: str, apply: Callable[[Record], None]) -> None:
+        """Call ``apply`` on the record of a listed incarnation; drop it if it is blank
         afterwards.
         """
         if not self.may_be_listed(key):
             return
         record = self._records.setdefault(key, Record())
-        change(record)
+        apply(record)
         if record.is_blank:
             del self._records[key]
 
@@ -120,44 +120,46 @@
         """Return the succeeded and failed requests since the last call, and reset them."""
         taken: dict[str, tuple[int, int]] = {}
         for key, record in list(self._records.items()):
-            if not (record.ended_well or record.ended_badly):
+            if not (record.succeeded or record.failed):
                 continue
-            taken[key] = (record.ended_well, record.ended_badly)
-            record.ended_well = record.ended_badly = 0
+            taken[key] = (record.succeeded, record.failed)
+            record.succeeded = record.failed = 0
             if record.is_blank:
                 del self._records[key]
         return taken
 
-    def hear(self, key: str, notice: withdrawal.Notice, now_s: float) -> withdrawal.Heard:
+    def apply_notice(
+        self, key: str, notice: withdrawal.Notice, now_s: float
+    ) -> withdrawal.NoticeNews:
         """Apply a notice of an endpoint, listed or not; return what in it is new."""
         record = self._records.setdefault(key, Record())
-        if notice.rest_s and not record.withdrawal.binds(now_s):
+        if notice.rest_s and not record.withdrawal.is_in_effect(now_s):
             record.window.turned_away(record.in_flight, now_s)
-        return record.withdrawal.hear(notice, now_s)
+        return record.withdrawal.apply(notice, now_s)
 
-    def hear_load(self, key: str, told: told_load.ToldLoad, now_s: float) -> None:
+    def store_load_report(self, key: str, report: told_load.ReportedLoad, now_s: float) -> None:
         """Store the load that a listed endpoint reports."""
         if self.may_be_listed(key):
             record = self._records.setdefault(key, Record())
-            record.told = told
-            record.told_at_s = now_s
+            record.reported_load = report
+            record.reported_load_at_s = now_s
 
     def sent(self, key: str, now_s: float) -> None:
         """Count a request that was sent although the endpoint had asked for none."""
         record = self._records.get(key)
-        if record is not None and record.withdrawal.binds(now_s):
+        if record is not None and record.withdrawal.is_in_effect(now_s):
             record.withdrawal.sent_since += 1
 
-    def end_rests(self, now_s: float) -> list[withdrawal.Ended]:
+    def expire_rests(self, now_s: float) -> list[withdrawal.EndedRest]:
         """Remove expired rests, windows, load reports and records; return the rests."""
         expired = []
         for key, record in list(self._records.items()):
             record.window.forget(now_s)
-            if now_s >= record.told_at_s + told_load.REPORT_TTL_S:
-                record.told = None
+            if now_s >= record.reported_load_at_s + told_load.REPORT_TTL_S:
+                record.reported_load = None
             ended = record.withdrawal.end_rest(now_s)
             if ended is not None:
-                expired.append(withdrawal.Ended(key, *ended))
+                expired.append(withdrawal.EndedRest(key, *ended))
             is_kept = self.may_be_listed(key) or record.withdrawal.outlives_listing(now_s)
             if record.is_blank or not is_kept:
                 del self._records[key]
@@ -168,7 +170,7 @@
         return {
             key: attrs.evolve(each.withdrawal)
             for key, each in self._records.items()
-            if each.withdrawal.binds(now_s)
+            if each.withdrawal.is_in_effect(now_s)
         }
 
     def resting_s(self, now_s: float) -> dict[str, float]:
@@ -176,7 +178,7 @@
         left = {key: each.withdrawal.rest_until_s - now_s for key, each in self._records.items()}
         return {key: round(left_s, 1) for key, left_s in left.items() if left_s > 0}
 
-    def said_leaving(self) -> set[str]:
+    def leaving_keys(self) -> set[str]:
         """Return the keys of endpoints that announced their shutdown."""
         return {key for key, each in self._records.items() if each.withdrawal.leaves}
 
@@ -194,7 +196,7 @@
         taken, self._new_notes = self._new_notes, []
         return places.by_engine(taken)
 
-    def give_back_notes(self, notes: places.Notes) -> None:
+    def requeue_notes(self, notes: places.Notes) -> None:
         """Queue undelivered notes again, without those of unlisted incarnations."""
         returned = [note for note in places.each_note(notes) if self.may_be_listed(note.engine)]
         self._new_notes = [*returned, *self._new_notes]
@@ -203,7 +205,7 @@
         """Return the engines that probably have a prompt part cached."""
         return self._places.holders(part, now_s)
 
-    def present(self) -> Set[str]:
+    def recorded_keys(self) -> Set[str]:
         """Return the keys that have a record."""
         return self._records.keys()
 
--- a/src/croftpulley/core/retry_budget.py
+++ b/src/croftpulley/core/retry_budget.py
@@ -147,9 +147,9 @@
 
     >>> budget = RetryBudget(Allowance(ratio=0.5, extra=2, window_s=10))
     >>> for _ in range(4): budget.request(0.0)
-    >>> [budget.take(1.0, fraction=0.5).is_granted for _ in range(3)]
+    >>> [budget.acquire(1.0, fraction=0.5).is_granted for _ in range(3)]
     [True, True, False]
-    >>> budget.take(20.0, fraction=0.5).spent
+    >>> budget.acquire(20.0, fraction=0.5).spent
     0
     """
 
@@ -162,7 +162,7 @@
         self._requests_s.append(now_s)
         self._forget_requests(now_s)
 
-    def take(self, now_s: float, fraction: float) -> Decision:
+    def acquire(self, now_s: float, fraction: float) -> Decision:
         """Grant a repeat if the budget allows it; this box may use ``fraction`` of the extra."""
         self._forget_requests(now_s)
         self._forget_repeats(now_s)
--- a/src/croftpulley/core/suspect_messages.py
+++ b/src/croftpulley/core/suspect_messages.py
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen
-class Told:
+class SuspectSummary:
     """What a router needs to know of one suspect; times are relative to when it is sent.
 
     The fields from ``pools`` on are sent for prompt parts only, as `Suspect` describes them.
@@ -98,12 +98,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class Change:
+class SuspectsUpdate:
     """What changed since the revision that a router knows, or everything if ``is_whole``."""
 
     revision: int
     is_whole: bool = False
-    suspects: tuple[Told, ...] = ()
+    suspects: tuple[SuspectSummary, ...] = ()
     removed: tuple[str, ...] = ()
 
 
--- a/src/croftpulley/core/suspect_rules.py
+++ b/src/croftpulley/core/suspect_rules.py
@@ -19,7 +19,7 @@
 MAX_CRASHES_AND_TRIALS = 5
 """A request that was in flight at more crashes at once gets fewer trials: one after four crashes. A
 request that was there three times by chance still gets one or two."""
-REST_S = 3600.0
+TRIAL_COOLDOWN_S = 3600.0
 """Cooldown after the last trial, before one more: operators need time to release a fix."""
 UNCONFIRMED_COOLDOWN_S = 60.0
 """The same without a third crash: both trials may have been inconclusive for another reason."""
@@ -32,10 +32,10 @@
 MAX_LATE_TRIALS = 2
 """Trials of a part after these; users allow three, and one may be in transit when the last crash is
 found."""
-PROVING_TRIALS = 2
+CONFIRMING_TRIALS = 2
 """Trials that crashed their endpoints before a part is refused. Only one is needed if so many
 crashes are known that more trials would be late ones."""
-BLANK_RESTS_S = (0.0, 1.0, 10.0, 60.0, 600.0)
+INCONCLUSIVE_TRIAL_COOLDOWNS_S = (0.0, 1.0, 10.0, 60.0, 600.0)
 """Cooldown before the next trial of a part, by the number of inconclusive ones: no success, and no
 known crash. The first leaves time to learn of the crash; later trials may hide crashes that no
 router could report."""
@@ -142,14 +142,14 @@
         return self.is_part or self.is_suspect
 
     @property
-    def may_be_tried_by_others(self) -> bool:
+    def has_trial_for_unaccused(self) -> bool:
         """Tell whether unaccused askers have a trial left."""
         is_spent = self.own_trials >= MAX_OWN_TRIALS or self.late_trials >= MAX_LATE_TRIALS
         return self.is_part and not is_spent
 
     def has_own_trial(self, asker: suspect_messages.Asker) -> bool:
         """Tell whether this asker may try it even while it is refused."""
-        if not self.may_be_tried_by_others:
+        if not self.has_trial_for_unaccused:
             return False
         return suspect_messages.is_unaccused(asker, self.accused, self.beside)
 
@@ -173,19 +173,24 @@
             return last_s + SUSPECT_TTL_S
         if self.trials == MAX_TRIALS or self.trials + self.crashes >= MAX_CRASHES_AND_TRIALS:
             is_proven = self.crashes > suspect_messages.SUSPECTED_CRASHES
-            return last_s + (REST_S if is_proven else UNCONFIRMED_COOLDOWN_S)
+            return last_s + (TRIAL_COOLDOWN_S if is_proven else UNCONFIRMED_COOLDOWN_S)
         return 0.0
 
     def _part_cooldown_until_wall_s(self, last_s: float) -> float:
         if self.late_trials >= MAX_LATE_TRIALS:
             return last_s + SUSPECT_TTL_S
-        needed = 1 if self._is_late else PROVING_TRIALS
+        needed = 1 if self._is_late else CONFIRMING_TRIALS
         if self.trial_crashes >= needed:
-            return last_s + REST_S
+            return last_s + TRIAL_COOLDOWN_S
         inconclusive = max(0, self.trials - self.trial_crashes)
         if not inconclusive:
             return 0.0
-        return self.last_trial_wall_s + BLANK_RESTS_S[min(inconclusive, len(BLANK_RESTS_S) - 1)]
+        return (
+            self.last_trial_wall_s
+            + INCONCLUSIVE_TRIAL_COOLDOWNS_S[
+                min(inconclusive, len(INCONCLUSIVE_TRIAL_COOLDOWNS_S) - 1)
+            ]
+        )
 
 
 def _append_name(names: tuple[str, ...], name: str) -> tuple[str, ...]:
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -64,7 +64,7 @@
     _revision: int = 0
 
     @classmethod
-    def of(cls, suspects: tuple[suspect_rules.Suspect, ...], revision: int) -> Suspects:
+    def restore(cls, suspects: tuple[suspect_rules.Suspect, ...], revision: int) -> Suspects:
         """Restore from what `all` and `revision` of another instance returned."""
         made = cls(revision=revision, from_revision=revision)
         for each in suspects:
--- a/src/croftpulley/core/told_load.py
+++ b/src/croftpulley/core/told_load.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ToldLoad:
+class ReportedLoad:
     """Numbers of running and waiting requests and of slots, and the current duration of work.
 
     ``time_percent`` is relative to the usual duration (100), ``None`` if it is not reported.
@@ -34,7 +34,7 @@
     time_percent: int | None = None
 
     @property
-    def present(self) -> int:
+    def request_count(self) -> int:
         """Running and waiting requests, limited to twice the slots."""
         return min(self.running + self.waiting, 2 * self.slots)
 
@@ -44,13 +44,13 @@
         return self.running + self.waiting >= self.slots
 
 
-def parse(text: str) -> ToldLoad | None:
+def parse(text: str) -> ReportedLoad | None:
     """Parse ``RUNNING,WAITING,SLOTS`` or ``RUNNING,WAITING,SLOTS,PERCENT``.
 
     Returns ``None`` for an invalid report.
 
     >>> parse("3,0,8"), parse("3,0") is None, parse("3,0,0") is None
-    (ToldLoad(running=3, waiting=0, slots=8, time_percent=None), True, True)
+    (ReportedLoad(running=3, waiting=0, slots=8, time_percent=None), True, True)
     >>> parse(" 16, 4, 16, 250 ").time_percent
     250
     """
@@ -61,4 +61,4 @@
     percent = match[4] and int(match[4])
     if max(running, waiting, slots) > _MAX_COUNT or not slots or percent == 0:
         return None
-    return ToldLoad(running=running, waiting=waiting, slots=slots, time_percent=percent or None)
+    return ReportedLoad(running=running, waiting=waiting, slots=slots, time_percent=percent or None)
--- a/src/croftpulley/core/trust.py
+++ b/src/croftpulley/core/trust.py
@@ -29,13 +29,13 @@
 
     avoid_until_s: float = float("-inf")
     failures: int = 0
-    away_until_s: float = float("-inf")
+    blocked_until_s: float = float("-inf")
     """Until when the endpoint gets no requests, even if there is no other endpoint."""
 
     @property
     def is_blank(self) -> bool:
         """Tell whether no failure and no back-off is recorded."""
-        return not self.failures and max(self.avoid_until_s, self.away_until_s) == float("-inf")
+        return not self.failures and max(self.avoid_until_s, self.blocked_until_s) == float("-inf")
 
     def failed(self, now_s: float) -> None:
         """Record that the endpoint was unreachable or its response broke off."""
@@ -46,13 +46,13 @@
         self.failures += 1
         self.avoid_until_s = now_s + wait_s
 
-    def gone(self, now_s: float) -> None:
+    def address_reused(self, now_s: float) -> None:
         """Record that another incarnation has the address."""
         self.avoid_until_s = now_s + REUSED_ADDRESS_BACKOFF_S
 
-    def stay_away(self, until_s: float) -> None:
+    def block_until(self, until_s: float) -> None:
         """Send nothing until then, whatever else happens at the endpoint."""
-        self.away_until_s = max(self.away_until_s, until_s)
+        self.blocked_until_s = max(self.blocked_until_s, until_s)
 
     def answered(self) -> None:
         """Record a complete response, which ends the back-off after failures."""
--- a/src/croftpulley/core/verdicts.py
+++ b/src/croftpulley/core/verdicts.py
@@ -6,13 +6,13 @@
 
 import attrs
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Statuses that tell a caller that the request has not run and never will."""
 MISDIRECTED = 421
 """Status for a request meant for another endpoint at this address; it was not run."""
 FIRST_SERVER_ERROR = 500
 """Lowest status of a server error."""
-SUCCESSES = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 """Statuses of requests that were carried out."""
 
 
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class AnswerFacts:
+class ResponseFacts:
     """What the head of a response says.
 
     ``declined`` and ``has_proof`` tell whether the endpoint states that it did not run, or ran, the
@@ -44,21 +44,21 @@
     id_matches: bool
 
 
-def judge(answer: AnswerFacts) -> Verdict:
+def classify_response(answer: ResponseFacts) -> Verdict:
     """Return the verdict on a response, given its head.
 
-    >>> facts = AnswerFacts(status=200, declined=False, has_proof=True, id_matches=True)
-    >>> judge(facts).name
+    >>> facts = ResponseFacts(status=200, declined=False, has_proof=True, id_matches=True)
+    >>> classify_response(facts).name
     'PASS_ON'
-    >>> judge(attrs.evolve(facts, status=503, declined=True, has_proof=False)).name
+    >>> classify_response(attrs.evolve(facts, status=503, declined=True, has_proof=False)).name
     'NOT_RUN'
-    >>> judge(attrs.evolve(facts, status=503)).name
+    >>> classify_response(attrs.evolve(facts, status=503)).name
     'MISLEADING'
     """
     if answer.declined or answer.status == MISDIRECTED:
         return Verdict.NOT_RUN
-    if not answer.id_matches or answer.status in PROMISES_NOT_RUN:
+    if not answer.id_matches or answer.status in NOT_RUN_STATUSES:
         return Verdict.MISLEADING
-    if answer.status in SUCCESSES:
+    if answer.status in SUCCESS_STATUSES:
         return Verdict.PASS_ON if answer.has_proof else Verdict.MISLEADING
     return Verdict.FAILED if answer.status >= FIRST_SERVER_ERROR else Verdict.PASS_ON
--- a/src/croftpulley/core/window.py
+++ b/src/croftpulley/core/window.py
@@ -12,15 +12,15 @@
 _DECREASE_FACTOR = 0.7
 """Decrease factor on a rejection. Half leaves endpoints idle whose requests take seconds; nearly
 all fills them again at once."""
-FORGOTTEN_S = 10.0
+WINDOW_TTL_S = 10.0
 """How long the window applies after the last rejection: a surge lasts some seconds."""
 
 
 @attrs.define
-class Window:
+class CongestionWindow:
     """Window of one box at one endpoint; ``size`` limits its concurrent requests there.
 
-    >>> window = Window()
+    >>> window = CongestionWindow()
     >>> window.turned_away(10, 1.0); window.admits(6), window.admits(7)
     (True, False)
     >>> for _ in range(8): window.accepted()
@@ -55,5 +55,5 @@
 
     def forget(self, now_s: float) -> None:
         """Lift the limit if the last rejection is old enough."""
-        if now_s >= self.turned_away_at_s + FORGOTTEN_S:
+        if now_s >= self.turned_away_at_s + WINDOW_TTL_S:
             self.size = float("inf")
--- a/src/croftpulley/core/withdrawal.py
+++ b/src/croftpulley/core/withdrawal.py
@@ -19,7 +19,7 @@
 MAX_REST_S = 3600.0
 """Longer rests are cut to this length: no endpoint plans its load further ahead, and a box has to
 remember the rest for as long."""
-LEAVING_KEPT_S = 3600.0
+LEAVING_TTL_S = 3600.0
 """How long an announced shutdown is remembered after the incarnation left the list, in case it is
 listed again: far longer than endpoints take to shut down."""
 _REST_STATUS = 503
@@ -47,11 +47,11 @@
         return not (self.rest_s or self.leaves or self.unusable)
 
 
-NOTHING = Notice()
+EMPTY_NOTICE = Notice()
 """The notice of a response that announces nothing."""
 
 
-def read(
+def parse_notice(
     status: int, retry_after: Iterable[str], leaving: Iterable[str], date: str, wall_s: float
 ) -> Notice:
     """Parse a notice from header values of a response; a header may occur several times.
@@ -59,14 +59,14 @@
     ``date`` is the Date header, the endpoint's own clock, to which a Retry-After with a point in
     time is relative; without it this box's ``wall_s`` is used.
 
-    >>> read(503, ["2.5", "1"], [], "", 0.0)
+    >>> parse_notice(503, ["2.5", "1"], [], "", 0.0)
     Notice(rest_s=2.5, leaves=False, unusable=())
-    >>> read(200, ["2.5"], ["1"], "", 0.0)
+    >>> parse_notice(200, ["2.5"], ["1"], "", 0.0)
     Notice(rest_s=0.0, leaves=True, unusable=())
     """
     if status == verdicts.MISDIRECTED:
         # Another endpoint has the address, and its headers are about itself.
-        return NOTHING
+        return EMPTY_NOTICE
     unusable = []
     rest_s = 0.0
     for value in retry_after if status == _REST_STATUS else ():
@@ -82,7 +82,7 @@
         else:
             unusable.append(value)
     if not (rest_s or leaves or unusable):
-        return NOTHING
+        return EMPTY_NOTICE
     return Notice(rest_s=rest_s, leaves=leaves, unusable=tuple(unusable))
 
 
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Heard:
+class NoticeNews:
     """What was new in a notice: a new or longer rest, a shutdown, unusable values."""
 
     rests: bool = False
@@ -129,7 +129,7 @@
 
 
 @attrs.frozen
-class Ended:
+class EndedRest:
     """An expired rest: its total length, and how many requests were sent meanwhile."""
 
     endpoint: str
@@ -144,11 +144,11 @@
     If rests overlap, the latest end applies.
 
     >>> withdrawal = Withdrawal()
-    >>> [withdrawal.hear(Notice(rest_s=s), at_s).rests for s, at_s in ((3.0, 10.0), (1.0, 10.5))]
+    >>> [withdrawal.apply(Notice(rest_s=s), at_s).rests for s, at_s in ((3.0, 10.0), (1.0, 10.5))]
     [True, False]
-    >>> withdrawal.until_s, withdrawal.binds(12.9), withdrawal.binds(13.0)
+    >>> withdrawal.until_s, withdrawal.is_in_effect(12.9), withdrawal.is_in_effect(13.0)
     (13.0, True, False)
-    >>> withdrawal.hear(Notice(leaves=True), 14.0).leaves, withdrawal.until_s
+    >>> withdrawal.apply(Notice(leaves=True), 14.0).leaves, withdrawal.until_s
     (True, inf)
     """
 
@@ -170,18 +170,18 @@
         """Tell whether no announcement applies."""
         return self.until_s == float("-inf") and not self.has_sent_unusable
 
-    def binds(self, now_s: float) -> bool:
+    def is_in_effect(self, now_s: float) -> bool:
         """Tell whether it takes no requests now."""
         return now_s < self.until_s
 
     def outlives_listing(self, now_s: float) -> bool:
         """Tell whether it must be kept although its endpoint is not listed."""
-        return now_s < max(self.rest_until_s, self.heard_at_s + LEAVING_KEPT_S * self.leaves)
+        return now_s < max(self.rest_until_s, self.heard_at_s + LEAVING_TTL_S * self.leaves)
 
-    def hear(self, notice: Notice, now_s: float) -> Heard:
+    def apply(self, notice: Notice, now_s: float) -> NoticeNews:
         """Apply a notice whose response head was read at ``now_s``; return what is new."""
         until_s = now_s + notice.rest_s if notice.rest_s else float("-inf")
-        heard = Heard(
+        heard = NoticeNews(
             rests=until_s > self.rest_until_s,
             leaves=notice.leaves and not self.leaves,
             is_unusable=bool(notice.unusable) and not self.has_sent_unusable,
--- a/src/croftpulley/dispatch/remote.py
+++ b/src/croftpulley/dispatch/remote.py
@@ -81,7 +81,7 @@
                 self._first = batch[1:]
                 return
             case (messages.Refused(code, load),):
-                self._attempt.adopt(attempts.Phase.REFUSED)
+                self._attempt.set_reported_phase(attempts.Phase.REFUSED)
                 raise local.NotAdmittedError(code, load)
         raise self._exchange.failed(EOFError("the owner answered neither yes nor no"))
 
@@ -91,7 +91,9 @@
             answer = tuple(each for each in batch if isinstance(each, _ANSWER_EVENTS))
             if answer:
                 done = isinstance(answer[-1], messages.Finished)
-                self._attempt.adopt(attempts.Phase.DONE if done else attempts.Phase.ANSWERING)
+                self._attempt.set_reported_phase(
+                    attempts.Phase.DONE if done else attempts.Phase.ANSWERING
+                )
                 yield answer
                 if done:
                     return
@@ -110,7 +112,7 @@
         """Raise what the owner says of an attempt that broke off."""
         for event in batch:
             if isinstance(event, messages.Broken):
-                self._attempt.adopt(event.phase)
+                self._attempt.set_reported_phase(event.phase)
                 raise errors.CroftpulleyError(
                     self._token.reason or event.code,
                     "the owner's attempt broke off",
--- a/src/croftpulley/endpoints/base.py
+++ b/src/croftpulley/endpoints/base.py
@@ -26,13 +26,13 @@
 class EngineRefusalError(errors.CroftpulleyError):
     """An engine's answer that is no stream, with what it says of the engine."""
 
-    notice: withdrawal.Notice = withdrawal.NOTHING
+    notice: withdrawal.Notice = withdrawal.EMPTY_NOTICE
 
 
 class EngineStream(abc.ABC):
     """The answer of one attempt as it arrives; ``notice`` is what its head says of the engine."""
 
-    notice: withdrawal.Notice = withdrawal.NOTHING
+    notice: withdrawal.Notice = withdrawal.EMPTY_NOTICE
 
     @abc.abstractmethod
     def batches(self) -> Iterator[EventBatch]:
--- a/src/croftpulley/endpoints/connection.py
+++ b/src/croftpulley/endpoints/connection.py
@@ -147,7 +147,7 @@
             if on_headers is not self._attempt.phase:
                 self._attempt.enter(on_headers)
             self._attempt.status = response.status
-            self._attempt.in_doubt = _ends_with_connection(response)
+            self._attempt.is_end_ambiguous = _ends_with_connection(response)
             return response
         except TRANSPORT_ERRORS as failure:
             raise self.failed(failure) from failure
@@ -218,7 +218,7 @@
 
     def failed(self, failure: Exception) -> errors.CroftpulleyError:
         """Make the error for a failed exchange from the attempt's phase, or a cancel's reason."""
-        self._attempt.in_doubt = True
+        self._attempt.is_end_ambiguous = True
         unsent = self._attempt.phase is attempts.Phase.UNSENT
         code = self._failures.unreachable if unsent else self._failures.broke
         return errors.CroftpulleyError(
--- a/src/croftpulley/endpoints/http_engine.py
+++ b/src/croftpulley/endpoints/http_engine.py
@@ -131,7 +131,7 @@
 def _notice(response: urllib3.HTTPResponse) -> withdrawal.Notice:
     """Return what an answer's head says of its engine."""
     headers = response.headers
-    return withdrawal.read(
+    return withdrawal.parse_notice(
         response.status,
         headers.getlist("Retry-After"),
         headers.getlist("X-Leaving"),
--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -70,11 +70,11 @@
         self, exchange: base.Exchange, request: permits.Request, figures: waiting_line.Figures
     ) -> float:
         """Return when there should be room: the more urgent return first, not all together."""
-        chance = returns.chance(exchange.facts.request_id)
-        position = returns.place(request.urgency, chance)
+        chance = returns.hash_fraction(exchange.facts.request_id)
+        position = returns.queue_position(request.urgency, chance)
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         # Where no start can be expected: when there are most likely others.
-        opens_in_s = min(figures.starts_in_s, returns.HONOURED * left_s)
+        opens_in_s = min(figures.starts_in_s, returns.MAX_WAIT_SHARE * left_s)
         return returns.wait_s(opens_in_s, left_s, _SPREAD, position)
 
 
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -127,7 +127,7 @@
             answer = self._sender.send(order, attempt, exchange.token)
         except BaseException as failure:
             if isinstance(failure, departures.HeldBackError):
-                exchange.attempts.withdraw(attempt)
+                exchange.attempts.discard(attempt)
             self._counts.end_reading(endpoint.key, placed.reading_tokens)
             self._counts.leave(endpoint.key)
             on_close()
--- a/src/croftpulley/forwarding/base.py
+++ b/src/croftpulley/forwarding/base.py
@@ -144,7 +144,9 @@
     @functools.cached_property
     def part_features(self) -> tuple[str, ...]:
         """The features that the shared parts of its prompt are, each once."""
-        return tuple(dict.fromkeys(fingerprints.of_part(each.part) for each in self.facts.shared))
+        return tuple(
+            dict.fromkeys(fingerprints.part_feature(each.part) for each in self.facts.shared)
+        )
 
     def end_if_over(self, failure: errors.CroftpulleyError) -> None:
         """Raise ``failure`` if no further attempt can help."""
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -37,7 +37,7 @@
         Raises `errors.CroftpulleyError` if the stream broke off and does not go on; before the
         first event no other endpoint is asked here.
         """
-        cutter = event_cut.EventCutter()
+        cutter = event_cut.EventSplitter()
         cutter.last_id = exchange.facts.last_event_id
         begun = False
         try:
@@ -79,15 +79,15 @@
         exchange.origin = origin
 
 
-def _whole_events(cutter: event_cut.EventCutter, current: attempt.OpenAttempt) -> Iterator[bytes]:
+def _whole_events(cutter: event_cut.EventSplitter, current: attempt.OpenAttempt) -> Iterator[bytes]:
     """Yield what is whole; raises `errors.CroftpulleyError` if the answer ends within an event."""
     for chunk in current.answer.chunks():
         whole = cutter.feed(chunk)
         if whole:
             yield whole
     if not cutter.is_between_events:
-        current.attempt.in_doubt = True
-        current.attempt.is_cut = True
+        current.attempt.is_end_ambiguous = True
+        current.attempt.is_truncated = True
         raise errors.CroftpulleyError(
             codes.ResultCode.WORKER_BROKE,
             f"{current.endpoint.address}: the stream ended within an event",
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -132,12 +132,12 @@
             self._failed(exchange, peer, failure)
             if handed.run_state is not codes.RunState.NOT_RUN:
                 raise
-            exchange.attempts.withdraw(handed)
+            exchange.attempts.discard(handed)
             return None
         if not answer.header(REFUSED):
             return answer
         answer.close()
-        exchange.attempts.withdraw(handed)
+        exchange.attempts.discard(handed)
         detail = f"{peer.name}: {answer.header(REFUSED)}"
         self._failed(exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail))
         return None
--- a/src/croftpulley/forwarding/judge.py
+++ b/src/croftpulley/forwarding/judge.py
@@ -24,8 +24,8 @@
     def verdict(self, exchange: base.Exchange, answer: sender.Answer) -> verdicts.Verdict:
         """Return what becomes of the request."""
         names = self._names
-        return verdicts.judge(
-            verdicts.AnswerFacts(
+        return verdicts.classify_response(
+            verdicts.ResponseFacts(
                 status=answer.status,
                 declined=bool(answer.header(names.not_run)),
                 has_proof=bool(answer.header(names.proof)),
@@ -37,7 +37,7 @@
         """Send a brittle endpoint nothing for a while that has turned a request away."""
         most = self._counts.most_turned_away(endpoint.pool) or 0
         boxes = self._view.get().registered_boxes
-        self._counts.stay_away(endpoint.key, brittle.away_s(most, boxes))
+        self._counts.stay_away(endpoint.key, brittle.backoff_s(most, boxes))
 
     def refusal(
         self, current: attempt.OpenAttempt, verdict: verdicts.Verdict
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -36,9 +36,9 @@
         self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
     ) -> None:
         """Take what the head of an answer says of its endpoint."""
-        if answer.status not in verdicts.PROMISES_NOT_RUN:
+        if answer.status not in verdicts.NOT_RUN_STATUSES:
             self._counts.accepted(endpoint.key)
-        notice = withdrawal.read(
+        notice = withdrawal.parse_notice(
             answer.status,
             answer.values(_RETRY_AFTER),
             answer.values(self._names.leaving),
@@ -108,7 +108,7 @@
     exchange: base.Exchange,
     endpoint: membership.Endpoint,
     notice: withdrawal.Notice,
-    heard: withdrawal.Heard,
+    heard: withdrawal.NoticeNews,
 ) -> None:
     """Log what is news; an endpoint says the same in many answers."""
     request_id = exchange.facts.request_id
--- a/src/croftpulley/forwarding/refusals.py
+++ b/src/croftpulley/forwarding/refusals.py
@@ -55,7 +55,7 @@
 
 def come_back_s(exchange: base.Exchange, survey: service.Survey) -> float:
     """Return when the caller should come back: once the pool takes requests, urgent ones first."""
-    chance = returns.chance(exchange.facts.request_id)
-    position = returns.place(headers.urgency(exchange), chance)
+    chance = returns.hash_fraction(exchange.facts.request_id)
+    position = returns.queue_position(headers.urgency(exchange), chance)
     left_s = exchange.deadline_s - survey.now_s
-    return returns.wait_s(survey.opens_in_s, left_s, returns.SPREAD, position)
+    return returns.wait_s(survey.opens_in_s, left_s, returns.JITTER_SHARE, position)
--- a/src/croftpulley/forwarding/sender.py
+++ b/src/croftpulley/forwarding/sender.py
@@ -44,7 +44,7 @@
     @property
     def is_success(self) -> bool:
         """Tell whether the status says that the request was carried out."""
-        return self.status in verdicts.SUCCESSES
+        return self.status in verdicts.SUCCESS_STATUSES
 
     def header(self, name: str) -> str:
         """Return a header's value, empty if it is not there; ``name`` is in lower case."""
--- a/src/croftpulley/forwarding/suspects.py
+++ b/src/croftpulley/forwarding/suspects.py
@@ -199,8 +199,8 @@
     return suspect_messages.Asker(exchange.workspace_name, tuple(others))
 
 
-def _named(exchange: base.Exchange) -> doubts.Named:
-    return doubts.Named(
+def _named(exchange: base.Exchange) -> doubts.RequestIdentity:
+    return doubts.RequestIdentity(
         exchange.fingerprint, exchange.workspace_name, exchange.part_features, exchange.pool
     )
 
@@ -208,16 +208,16 @@
 def _ending(attempt: attempts.Attempt, *, is_cancelled: bool) -> doubts.Ending:
     if attempt.run_state is codes.RunState.NOT_RUN:
         return doubts.Ending.UNCLEAR
-    if attempt.in_doubt and is_cancelled:
+    if attempt.is_end_ambiguous and is_cancelled:
         return doubts.Ending.GIVEN_UP
-    if attempt.in_doubt:
-        is_read = attempt.phase is attempts.Phase.DONE and not attempt.is_cut
-        is_whole = is_read and attempt.status in verdicts.SUCCESSES
+    if attempt.is_end_ambiguous:
+        is_read = attempt.phase is attempts.Phase.DONE and not attempt.is_truncated
+        is_whole = is_read and attempt.status in verdicts.SUCCESS_STATUSES
         return doubts.Ending.CLOSED if is_whole else doubts.Ending.BROKE
     if attempt.phase is not attempts.Phase.DONE:
         return doubts.Ending.GIVEN_UP
     # An endpoint that fails requests may do so before it begins to run them.
-    is_success = attempt.status in verdicts.SUCCESSES
+    is_success = attempt.status in verdicts.SUCCESS_STATUSES
     return doubts.Ending.SURVIVED if is_success else doubts.Ending.UNCLEAR
 
 
--- a/src/croftpulley/http/peer_app.py
+++ b/src/croftpulley/http/peer_app.py
@@ -84,4 +84,4 @@
         return batch
     chunks = [event for event in batch if isinstance(event, assembly.Chunk)]
     ends = [event for event in batch if isinstance(event, messages.Finished)]
-    return (*assembly.merge(chunks), *ends)
+    return (*assembly.merge_adjacent(chunks), *ends)
--- a/src/croftpulley/observe/explain.py
+++ b/src/croftpulley/observe/explain.py
@@ -151,7 +151,7 @@
 
     def _accused(self) -> str:
         fields = self.last.fields
-        parts = [fingerprints.of_part(str(each)) for each in fields.get("parts", ())]
+        parts = [fingerprints.part_feature(str(each)) for each in fields.get("parts", ())]
         named = [each for each in parts if each in str(fields.get("problem", "")).split()]
         return named[0] if named else str(fields.get("fingerprint", ""))
 
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -83,7 +83,7 @@
     )
     state.boxes = {box.name: box for box in document.boxes}
     state.owners = {owner.engine: owner for owner in document.owners}
-    state.suspects = suspects.Suspects.of(document.suspects, document.suspects_revision)
+    state.suspects = suspects.Suspects.restore(document.suspects, document.suspects_revision)
     state.evacuated = document.evacuated
     state.pool_versions = document.pool_versions
 
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -103,7 +103,7 @@
     notes: places.Notes = attrs.field(factory=dict)
     next_note: int = 0
     held_off: tuple[str, ...] = ()
-    suspects: suspect_messages.Change | None = None
+    suspects: suspect_messages.SuspectsUpdate | None = None
     evacuated: halls.Evacuated | None = None
     cold: tuple[int, ...] = ()
     unreached: dict[str, int] = attrs.field(factory=dict)
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -138,8 +138,8 @@
     links = cut_links.Links()
     listed = [worker(f"w{n}", address=f"127.0.0.1:{n}") for n in range(1, 7)]
     suspected = suspicion.Suspicion(clock, metrics.Metrics(()))
-    request = doubts.Named("a-fingerprint", "clinic")
-    attempt = attempts.Attempt(1, "w1", attempts.Phase.SENT, in_doubt=True)
+    request = doubts.RequestIdentity("a-fingerprint", "clinic")
+    attempt = attempts.Attempt(1, "w1", attempts.Phase.SENT, is_end_ambiguous=True)
     suspected.end(listed[0], request, attempt, doubts.Ending.BROKE)
     links.cut = cut_links.Cut.REFUSED
     suspicion_reports.look(suspected, listed[0], listed, 0.1, links)
--- a/testing/controllers/test_stopped_controllers.py
+++ b/testing/controllers/test_stopped_controllers.py
@@ -18,7 +18,7 @@
     hall="hall-a",
     incarnation="e",
 )
-REQUEST = doubts.Named("f", "clinic", ("part-a",), "llm")
+REQUEST = doubts.RequestIdentity("f", "clinic", ("part-a",), "llm")
 
 
 @pytest.fixture
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -61,13 +61,13 @@
     known = suspicion.Suspicion(clocks.ManualClock(), metrics.Metrics())
     kind = membership.EndpointKind.ENGINE
     endpoint = membership.Endpoint("e", kind, "llm", "127.0.0.1:9", "hall-a", "e")
-    request = doubts.Named("f", "clinic", ("part-a",), "llm")
+    request = doubts.RequestIdentity("f", "clinic", ("part-a",), "llm")
     attempt = attempts.Attempt(1, "e")
     known.begin(endpoint, request, attempt)
     known.end(endpoint, request, attempt, doubts.Ending.GIVEN_UP)
     known.looked(endpoint, listens=False)
-    told = suspect_messages.Told("part-a", 1, pools=("llm",))
-    known.learn(suspect_messages.Change(revision=1, suspects=(told,)))
+    told = suspect_messages.SuspectSummary("part-a", 1, pools=("llm",))
+    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(told,)))
     known.reported(known.news())
     assert known.standing("part-a").crashes == 1
 
--- a/testing/controllers/test_traffic.py
+++ b/testing/controllers/test_traffic.py
@@ -115,7 +115,7 @@
             assert each.load == others + own.in_flight
             assert each.reading_tokens == pytest.approx(max(0.0, to_read - 2 * read_s))
             assert each.held_tokens == held.get(each.name, 0)
-            avoided = float("inf") if each.name in held_off else own.trust.avoid_until_s
+            avoided = float("inf") if each.name in held_off else own.backoff.avoid_until_s
             assert each.avoid_until_s == avoided
 
 
@@ -132,7 +132,7 @@
     assert is_full(made)
     made.leave("e")
     assert not is_full(made)
-    clock.advance(window.FORGOTTEN_S)
+    clock.advance(window.WINDOW_TTL_S)
     for _ in range(100):
         made.enter("e")
     made.end_rests()
--- a/testing/core/test_attempts.py
+++ b/testing/core/test_attempts.py
@@ -29,7 +29,7 @@
     attempt.enter(attempts.Phase.ANSWERING)
     with pytest.raises(ValueError, match="cannot go from ANSWERING to SENT"):
         attempt.enter(attempts.Phase.SENT)
-    attempt.adopt(attempts.Phase.SENT)
+    attempt.set_reported_phase(attempts.Phase.SENT)
     assert attempt.phase is attempts.Phase.ANSWERING
 
 
@@ -37,7 +37,7 @@
     # Without this the caller got "unknown" when the engine refused the connection of the owner box.
     attempt = attempts.Attempt(1, "engine")
     attempt.enter(attempts.Phase.SENT)
-    attempt.adopt(attempts.Phase.UNSENT)
+    attempt.set_reported_phase(attempts.Phase.UNSENT)
     assert attempt.run_state is codes.RunState.NOT_RUN
 
 
--- a/testing/core/test_doubts.py
+++ b/testing/core/test_doubts.py
@@ -6,15 +6,15 @@
 
 from croftpulley.core import attempts, doubts
 
-REQUEST = doubts.Named("f", "clinic")
-OTHER = doubts.Named("g", "clinic")
+REQUEST = doubts.RequestIdentity("f", "clinic")
+OTHER = doubts.RequestIdentity("g", "clinic")
 Ending = doubts.Ending
 
 
 @pytest.fixture
 def candidates():
-    made = doubts.Doubts()
-    made.keep({"e": False, "other": False}, 0.0)
+    made = doubts.CrashCandidates()
+    made.update_listed({"e": False, "other": False}, 0.0)
     return made
 
 
@@ -33,14 +33,14 @@
 def test_requests_under_way_when_an_endpoint_ends_are_candidates(candidates):
     begin(candidates, REQUEST)
     begin(candidates, OTHER, "other")
-    assert candidates.ended("e", 1.0) == (REQUEST,)
+    assert candidates.conclude_ended("e", 1.0) == (REQUEST,)
 
 
 @pytest.mark.parametrize("phase", [attempts.Phase.UNSENT, attempts.Phase.REFUSED])
 def test_requests_not_running_when_an_endpoint_ends_are_no_candidates(candidates, phase):
     begin(candidates, OTHER, phase=phase)
     begin(candidates, REQUEST)
-    assert candidates.ended("e", 1.0) == (REQUEST,)
+    assert candidates.conclude_ended("e", 1.0) == (REQUEST,)
 
 
 @pytest.mark.parametrize(
@@ -57,61 +57,61 @@
 ):
     # The endpoint may have started to run a request whose caller gave up.
     run_to_end(candidates, REQUEST, ending, 1.0)
-    assert candidates.ended("e", 1.1) == expected
+    assert candidates.conclude_ended("e", 1.1) == expected
 
 
 def test_a_request_that_ended_long_before_is_no_candidate(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
-    assert candidates.ended("e", 1.1 + doubts.RECENT_CANDIDATE_S) == ()
+    assert candidates.conclude_ended("e", 1.1 + doubts.RECENT_CANDIDATE_S) == ()
 
 
 def test_an_endpoint_ends_only_once(candidates):
     attempt = begin(candidates, REQUEST)
-    candidates.ended("e", 1.0)
+    candidates.conclude_ended("e", 1.0)
     candidates.end("e", REQUEST, attempt, Ending.BROKE, 1.1)
-    assert candidates.ended("e", 1.2) == ()
-    assert candidates.keep({"other": False}, 2.0) == {}
+    assert candidates.conclude_ended("e", 1.2) == ()
+    assert candidates.update_listed({"other": False}, 2.0) == {}
 
 
 def test_an_incarnation_that_disappears_from_the_list_has_ended(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
     run_to_end(candidates, OTHER, Ending.GIVEN_UP, 1.0)
-    assert candidates.keep({"other": False}, 4.0) == {"e": (REQUEST, OTHER)}
+    assert candidates.update_listed({"other": False}, 4.0) == {"e": (REQUEST, OTHER)}
 
 
 def test_a_success_clears_requests_that_ended_well_before_it(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
     run_to_end(candidates, OTHER, Ending.SURVIVED, 1.0 + doubts.RECENT_CANDIDATE_S)
-    assert candidates.keep({"other": False}, 4.0) == {}
+    assert candidates.update_listed({"other": False}, 4.0) == {}
 
 
 def test_an_incarnation_that_was_shutting_down_has_no_candidates(candidates):
     begin(candidates, REQUEST)
-    candidates.keep({"e": True, "other": False}, 1.0)
-    assert candidates.keep({"other": False}, 2.0) == {}
+    candidates.update_listed({"e": True, "other": False}, 1.0)
+    assert candidates.update_listed({"other": False}, 2.0) == {}
 
 
 def test_a_success_from_an_incarnation_revokes_its_end(candidates):
     # A cut link may refuse connections while the endpoint still runs.
     attempt = begin(candidates, OTHER)
-    candidates.ended("e", 1.0)
+    candidates.conclude_ended("e", 1.0)
     candidates.end("e", OTHER, attempt, Ending.SURVIVED, 1.1)
     run_to_end(candidates, REQUEST, Ending.BROKE, 2.0)
-    assert candidates.ended("e", 2.1) == (REQUEST,)
+    assert candidates.conclude_ended("e", 2.1) == (REQUEST,)
 
 
 def test_a_broken_attempt_is_unexplained_until_the_address_was_checked(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0, incarnation="other")
-    assert candidates.broke_lately("f", 1.1) == ("e", "other")
-    candidates.answers("e", 1.1)
-    candidates.ended("other", 1.1)
-    assert candidates.broke_lately("f", 1.2) == ()
+    assert candidates.unexplained_breaks("f", 1.1) == ("e", "other")
+    candidates.note_reachable("e", 1.1)
+    candidates.conclude_ended("other", 1.1)
+    assert candidates.unexplained_breaks("f", 1.2) == ()
 
 
 def test_old_attempts_and_ends_are_forgotten(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
-    candidates.ended("other", 1.0)
+    candidates.conclude_ended("other", 1.0)
     candidates.forget(100.0)
-    assert candidates.broke_lately("f", 1.0) == ()
+    assert candidates.unexplained_breaks("f", 1.0) == ()
     assert not candidates.has_ended("other")
--- a/testing/core/test_listed.py
+++ b/testing/core/test_listed.py
@@ -129,19 +129,19 @@
     note = places.Note(f"part {key}", key or "")
     match step:
         case "keep":
-            known.keep(key, now_s)
+            known.update_listed(key, now_s)
         case "enter":
-            known.change(key, enter)
+            known.update(key, enter)
         case "leave":
-            known.change(key, leave)
+            known.update(key, leave)
         case "fail":
-            known.change(key, lambda record: record.trust.failed(now_s))
+            known.update(key, lambda record: record.backoff.failed(now_s))
         case "note":
             known.note_own(note, now_s)
         case "hear":
             known.note(note, now_s)
         case "give back":
-            known.give_back_notes({key: (note.part,)})
+            known.requeue_notes({key: (note.part,)})
         case "take":
             known.take_notes()
             known.take_outcomes()
@@ -164,14 +164,14 @@
 
 def test_notices_are_kept_while_the_list_omits_the_incarnation():
     known = records.Records()
-    known.keep({"e@1", "f@1"}, 0.0)
-    known.change("e@1", enter)
-    known.hear("e@1", withdrawal.Notice(leaves=True), 0.0)
-    known.hear("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
-    known.keep({"g@1"}, 1.0)
+    known.update_listed({"e@1", "f@1"}, 0.0)
+    known.update("e@1", enter)
+    known.apply_notice("e@1", withdrawal.Notice(leaves=True), 0.0)
+    known.apply_notice("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
+    known.update_listed({"g@1"}, 1.0)
     # A response that was in flight when the list omitted the endpoint.
-    known.hear("e@1", withdrawal.Notice(rest_s=1.0, leaves=True), 1.0)
-    known.keep({"e@1", "f@1"}, 2.0)
+    known.apply_notice("e@1", withdrawal.Notice(rest_s=1.0, leaves=True), 1.0)
+    known.update_listed({"e@1", "f@1"}, 2.0)
     assert known.in_flight() == {}
     assert set(known.withdrawn(4.9)) == {"e@1", "f@1"}
     assert set(known.withdrawn(5.0)) == {"e@1"}
@@ -179,29 +179,29 @@
 
 def test_successor_of_a_leaving_incarnation_is_not_leaving():
     known = records.Records()
-    known.keep({"e@1"}, 0.0)
-    known.hear("e@1", withdrawal.Notice(rest_s=60.0, leaves=True), 0.0)
-    known.keep({"e@2"}, 1.0)
+    known.update_listed({"e@1"}, 0.0)
+    known.apply_notice("e@1", withdrawal.Notice(rest_s=60.0, leaves=True), 0.0)
+    known.update_listed({"e@2"}, 1.0)
     assert "e@2" not in known.withdrawn(1.0)
 
 
 def test_notices_of_incarnations_that_are_long_gone_expire():
     known = records.Records()
-    known.hear("e@1", withdrawal.Notice(leaves=True), 0.0)
-    known.hear("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
-    known.keep({"g@1"}, 1.0)
-    known.end_rests(withdrawal.LEAVING_KEPT_S - 1.0)
+    known.apply_notice("e@1", withdrawal.Notice(leaves=True), 0.0)
+    known.apply_notice("f@1", withdrawal.Notice(rest_s=5.0), 0.0)
+    known.update_listed({"g@1"}, 1.0)
+    known.expire_rests(withdrawal.LEAVING_TTL_S - 1.0)
     assert known.keys() == {"e@1"}
-    known.end_rests(withdrawal.LEAVING_KEPT_S)
+    known.expire_rests(withdrawal.LEAVING_TTL_S)
     assert known.keys() == set()
 
 
 def test_incarnation_that_is_listed_again_starts_without_records():
     known = records.Records()
-    known.change("e@1", enter)
+    known.update("e@1", enter)
     known.note_own(places.Note("p", "e@1"), 0.0)
-    known.keep({"e@2"}, 1.0)
-    known.keep({"e@1"}, 2.0)
+    known.update_listed({"e@2"}, 1.0)
+    known.update_listed({"e@1"}, 2.0)
     assert known.in_flight() == {}
     assert known.take_notes() == {}
     assert known.holders("p", 0.0) == []
@@ -209,8 +209,8 @@
 
 def test_empty_records_are_dropped():
     known = records.Records()
-    known.change("e@1", enter)
-    known.change("e@1", leave)
+    known.update("e@1", enter)
+    known.update("e@1", leave)
     assert known.keys() == set()
 
 
--- a/testing/core/test_outcomes.py
+++ b/testing/core/test_outcomes.py
@@ -13,7 +13,7 @@
 
 
 def new_holds(detector, now_s, pool=POOL):
-    return [each.endpoint for each in detector.judge([pool], now_s)]
+    return [each.endpoint for each in detector.hold_off_outliers([pool], now_s)]
 
 
 def traffic(detector, rng, now_s, shares, requests=9):
@@ -26,7 +26,7 @@
 def test_an_endpoint_that_fails_two_of_five_is_held_off_within_two_seconds():
     detected = 0
     for seed in range(50):
-        detector, rng = outcomes.Outcomes(), random.Random(seed)
+        detector, rng = outcomes.OutlierDetector(), random.Random(seed)
         for second in range(2):
             traffic(detector, rng, float(second), {"a": 0.4, "b": 0.05, "c": 0.05})
             detected += "a" in new_holds(detector, float(second))
@@ -36,7 +36,7 @@
 def test_endpoints_that_fail_equally_often_are_not_held_off():
     held = []
     for seed in range(50):
-        detector, rng = outcomes.Outcomes(), random.Random(seed)
+        detector, rng = outcomes.OutlierDetector(), random.Random(seed)
         for second in range(30):
             traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.05))
             held += new_holds(detector, float(second))
@@ -45,39 +45,39 @@
 
 
 def test_no_endpoint_is_held_off_if_the_whole_pool_fails():
-    detector, rng = outcomes.Outcomes(), random.Random(1)
+    detector, rng = outcomes.OutlierDetector(), random.Random(1)
     for second in range(20):
         traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.5))
         assert new_holds(detector, float(second)) == []
 
 
 def test_after_a_hold_only_new_requests_count_and_the_next_hold_is_longer():
-    detector = outcomes.Outcomes()
+    detector = outcomes.OutlierDetector()
     detector.add({"a": (0, 5), "b": (9, 0)}, 0.0)
-    (first,) = detector.judge([POOL], 0.0)
+    (first,) = detector.hold_off_outliers([POOL], 0.0)
     after_s = first.hold_s + 0.1
     assert new_holds(detector, after_s) == []
     assert detector.held(after_s) == ()
     detector.add({"a": (0, 5), "b": (9, 0)}, after_s)
-    (second,) = detector.judge([POOL], after_s)
+    (second,) = detector.hold_off_outliers([POOL], after_s)
     assert second.hold_s == 2 * first.hold_s
 
 
 def test_the_hold_is_short_again_after_a_long_time_without_one():
-    detector = outcomes.Outcomes()
+    detector = outcomes.OutlierDetector()
     detector.add({"a": (0, 5)}, 0.0)
-    (first,) = detector.judge([POOL], 0.0)
+    (first,) = detector.hold_off_outliers([POOL], 0.0)
     later_s = first.hold_s + outcomes.HOLD_RESET_S + 1.0
     detector.add({"a": (0, 5)}, later_s)
-    (second,) = detector.judge([POOL], later_s)
+    (second,) = detector.hold_off_outliers([POOL], later_s)
     assert second.hold_s == first.hold_s
 
 
 def test_unlisted_endpoints_are_forgotten():
-    detector = outcomes.Outcomes()
+    detector = outcomes.OutlierDetector()
     detector.add({"a": (0, 5)}, 0.0)
-    detector.judge([POOL], 0.0)
-    detector.keep({"b"})
+    detector.hold_off_outliers([POOL], 0.0)
+    detector.retain({"b"})
     assert detector.held(0.1) == ()
 
 
@@ -89,10 +89,10 @@
 
 @given(reports)
 def test_never_more_than_half_of_a_pool_is_held_off(reported):
-    detector = outcomes.Outcomes()
+    detector = outcomes.OutlierDetector()
     now_s = 0.0
     for endpoint, succeeded, failed, pause_s in reported:
         now_s += pause_s
         detector.add({endpoint: (succeeded, failed)}, now_s)
-        detector.judge([POOL], now_s)
+        detector.hold_off_outliers([POOL], now_s)
         assert len(detector.held(now_s)) <= len(POOL) / 2
--- a/testing/core/test_retry_budget.py
+++ b/testing/core/test_retry_budget.py
@@ -29,7 +29,7 @@
             if is_request:
                 budget.request(now_s)
                 requests.append(now_s)
-            elif budget.take(now_s, 1 / boxes).is_granted:
+            elif budget.acquire(now_s, 1 / boxes).is_granted:
                 repeats.append(now_s)
         assert shared_budget.worst_excess(self.ALLOWANCE, requests, repeats) is None
 
@@ -44,7 +44,7 @@
                 budget.request(requests[-1])
 
         def spend(budget, at_s):
-            while budget.take(at_s, fraction=0.5).is_granted:
+            while budget.acquire(at_s, fraction=0.5).is_granted:
                 repeats.append(at_s)
 
         send_requests(before, 0.0)
@@ -57,11 +57,11 @@
         """The box may stall between the decision and the first byte."""
         budget = retry_budget.RetryBudget(self.ALLOWANCE)
         one = 1 / self.ALLOWANCE.extra
-        late = budget.take(0.0, one).repeat
+        late = budget.acquire(0.0, one).repeat
         late.at_s = 5.0
-        assert not budget.take(5.0, one).is_granted
-        assert not budget.take(5.0 + self.ALLOWANCE.window_s, one).is_granted
-        assert budget.take(5.0 + self.ALLOWANCE.counted_s, one).is_granted
+        assert not budget.acquire(5.0, one).is_granted
+        assert not budget.acquire(5.0 + self.ALLOWANCE.window_s, one).is_granted
+        assert budget.acquire(5.0 + self.ALLOWANCE.counted_s, one).is_granted
 
 
 class TestExtraShare:
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -106,15 +106,15 @@
         end(state, "f", trial, at_s=1.0)
     refused = ask(state, "f", "t3", at_s=2.0)
     assert refused == suspect_messages.TrialAnswer(
-        suspect_messages.Verdict.REFUSED, 4, suspect_rules.REST_S - 1.0
+        suspect_messages.Verdict.REFUSED, 4, suspect_rules.TRIAL_COOLDOWN_S - 1.0
     )
     assert update_for(state, at_s=2.0).suspects == (
-        suspect_messages.Told("f", 4, suspect_rules.REST_S - 1.0),
+        suspect_messages.SuspectSummary("f", 4, suspect_rules.TRIAL_COOLDOWN_S - 1.0),
     )
-    cooled_down_s = 1.0 + suspect_rules.REST_S
+    cooled_down_s = 1.0 + suspect_rules.TRIAL_COOLDOWN_S
     assert ask(state, "f", "t3", at_s=cooled_down_s).verdict is suspect_messages.Verdict.GRANTED
     end(state, "f", "t3", at_s=cooled_down_s)
-    later_s = cooled_down_s + suspect_rules.REST_S
+    later_s = cooled_down_s + suspect_rules.TRIAL_COOLDOWN_S
     assert ask(state, "f", "t4", at_s=later_s).verdict is suspect_messages.Verdict.REFUSED
 
 
@@ -220,7 +220,7 @@
             end(state, PART, trial)
         refused = ask(state, PART, "t3")
         assert refused == suspect_messages.TrialAnswer(
-            suspect_messages.Verdict.REFUSED, 4, suspect_rules.REST_S
+            suspect_messages.Verdict.REFUSED, 4, suspect_rules.TRIAL_COOLDOWN_S
         )
 
     def test_simultaneous_crashes_alone_do_not_refuse_a_part(self, state):
@@ -231,7 +231,7 @@
     def test_inconclusive_trials_have_growing_cooldowns_and_refuse_no_longer(self, state):
         crash(state, PART, "e1", "e2")
         at_s = 0.0
-        for number, cooldown_s in enumerate(suspect_rules.BLANK_RESTS_S[1:]):
+        for number, cooldown_s in enumerate(suspect_rules.INCONCLUSIVE_TRIAL_COOLDOWNS_S[1:]):
             assert (
                 ask(state, PART, f"t{number}", at_s=at_s).verdict
                 is suspect_messages.Verdict.GRANTED
--- a/testing/core/test_told_load.py
+++ b/testing/core/test_told_load.py
@@ -53,4 +53,4 @@
 def test_an_implausibly_high_load_counts_as_twice_the_slots():
     report = told_load.parse("900000,900000,16")
     assert report.is_full
-    assert report.present == 32
+    assert report.request_count == 32
--- a/testing/core/test_verdicts.py
+++ b/testing/core/test_verdicts.py
@@ -28,7 +28,7 @@
     def test_the_verdict_follows_from_the_response_head(
         self, status, declined, proof, matches, verdict
     ):
-        facts = verdicts.AnswerFacts(
+        facts = verdicts.ResponseFacts(
             status=status, declined=declined, has_proof=proof, id_matches=matches
         )
-        assert verdicts.judge(facts) is verdict
+        assert verdicts.classify_response(facts) is verdict
--- a/testing/core/test_withdrawal.py
+++ b/testing/core/test_withdrawal.py
@@ -13,7 +13,7 @@
 
 
 def rest_s(*values, status=503, date=""):
-    return withdrawal.read(status, values, [], date, NOW_S).rest_s
+    return withdrawal.parse_notice(status, values, [], date, NOW_S).rest_s
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
 )
 def test_a_rest_is_parsed_from_seconds_and_from_a_point_in_time(value, asked_s):
     assert rest_s(value) == asked_s
-    assert withdrawal.read(503, [value], [], "", NOW_S).unusable == ()
+    assert withdrawal.parse_notice(503, [value], [], "", NOW_S).unusable == ()
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
     ],
 )
 def test_an_invalid_retry_after_asks_for_nothing_and_is_reported(value):
-    notice = withdrawal.read(503, [value], [], "", NOW_S)
+    notice = withdrawal.parse_notice(503, [value], [], "", NOW_S)
     assert (notice.rest_s, notice.unusable) == (0.0, (value,))
 
 
@@ -59,7 +59,7 @@
 
 def test_the_longest_of_several_values_applies_and_invalid_ones_hide_none():
     assert rest_s("1", "4", "2") == 4.0
-    notice = withdrawal.read(503, ["nan", "4"], [], "", NOW_S)
+    notice = withdrawal.parse_notice(503, ["nan", "4"], [], "", NOW_S)
     assert (notice.rest_s, notice.unusable) == (4.0, ("nan",))
 
 
@@ -73,17 +73,17 @@
 @pytest.mark.parametrize("value", ["1", " 1 "])
 def test_a_shutdown_is_accepted_with_any_status_of_the_endpoint(value):
     for status in (200, 404, 429, 500, 503):
-        assert withdrawal.read(status, [], [value], "", NOW_S).leaves
+        assert withdrawal.parse_notice(status, [], [value], "", NOW_S).leaves
 
 
 @pytest.mark.parametrize("value", ["", "0", "true", "2", "1, 1", "11"])
 def test_an_invalid_shutdown_value_is_ignored_and_reported(value):
-    notice = withdrawal.read(200, [], [value], "", NOW_S)
+    notice = withdrawal.parse_notice(200, [], [value], "", NOW_S)
     assert (notice.leaves, notice.unusable) == (False, (value,))
 
 
 def test_a_misdirected_response_announces_nothing():
-    assert withdrawal.read(421, ["3"], ["1"], "", NOW_S) is withdrawal.NOTHING
+    assert withdrawal.parse_notice(421, ["3"], ["1"], "", NOW_S) is withdrawal.EMPTY_NOTICE
 
 
 @hypothesis.given(
@@ -92,7 +92,7 @@
     strategies.text(),
 )
 def test_any_header_value_is_handled_and_no_rest_exceeds_the_longest(values, words, date):
-    notice = withdrawal.read(503, values, words, date, NOW_S)
+    notice = withdrawal.parse_notice(503, values, words, date, NOW_S)
     assert 0.0 <= notice.rest_s <= withdrawal.MAX_REST_S
     assert notice.leaves == any(word.strip() == "1" for word in words)
 
@@ -103,13 +103,13 @@
     def test_the_latest_end_of_overlapping_rests_applies(self):
         announced = withdrawal.Withdrawal()
         for asked_s, at_s in ((5.0, 0.0), (1.0, 1.0), (4.5, 1.0), (0.5, 5.2)):
-            announced.hear(withdrawal.Notice(rest_s=asked_s), at_s)
+            announced.apply(withdrawal.Notice(rest_s=asked_s), at_s)
         assert announced.until_s == 5.7
         assert announced.rest_from_s == 0.0
 
     def test_an_expired_rest_is_returned_once_with_the_requests_sent_meanwhile(self):
         announced = withdrawal.Withdrawal()
-        announced.hear(withdrawal.Notice(rest_s=2.0), 1.0)
+        announced.apply(withdrawal.Notice(rest_s=2.0), 1.0)
         announced.sent_since += 3
         assert announced.end_rest(2.9) is None
         assert announced.end_rest(3.0) == (2.0, 3)
@@ -118,7 +118,7 @@
 
     def test_a_shutdown_outlasts_every_rest(self):
         announced = withdrawal.Withdrawal()
-        announced.hear(withdrawal.Notice(rest_s=2.0, leaves=True), 1.0)
+        announced.apply(withdrawal.Notice(rest_s=2.0, leaves=True), 1.0)
         announced.end_rest(3.0)
-        assert announced.binds(1e9)
+        assert announced.is_in_effect(1e9)
         assert not announced.is_blank
--- a/testing/daemons/test_crashing_parts.py
+++ b/testing/daemons/test_crashing_parts.py
@@ -122,7 +122,7 @@
 
 def standings(site):
     """Return what speaks against the part at each router."""
-    name = fingerprints.of_part(DEAD)
+    name = fingerprints.part_feature(DEAD)
     return [router._suspicion.standing(name) for router in site.routers]
 
 
@@ -131,7 +131,10 @@
 
     def is_refused():
         send_in_turn(site, rounds=1)
-        return all(each.refused_for_s > suspect_rules.BLANK_RESTS_S[-1] for each in standings(site))
+        return all(
+            each.refused_for_s > suspect_rules.INCONCLUSIVE_TRIAL_COOLDOWNS_S[-1]
+            for each in standings(site)
+        )
 
     wait_until(is_refused, "it is refused")
 
@@ -144,7 +147,7 @@
             lambda: all(each.crashes >= sends(site) for each in standings(site)),
             "every router knows of each end",
         )
-    assert sends(site) == suspect_messages.SUSPECTED_CRASHES + suspect_rules.PROVING_TRIALS
+    assert sends(site) == suspect_messages.SUSPECTED_CRASHES + suspect_rules.CONFIRMING_TRIALS
 
 
 def test_what_is_told_of_them_is_true_and_comes_at_once(site):
@@ -154,7 +157,7 @@
         answer = send(site, router)
         assert answer.status == 503
         assert answer.headers["x-run-state"] == "not_run"
-        assert 0 < float(answer.headers["retry-after"]) <= suspect_rules.REST_S
+        assert 0 < float(answer.headers["retry-after"]) <= suspect_rules.TRIAL_COOLDOWN_S
     assert sends(site) == before
 
 
@@ -185,7 +188,7 @@
     assert answers[0].status == 200
     for router in site.routers:
         wait_until(
-            lambda router=router: fingerprints.of_part("ee") not in crash_standings(router),
+            lambda router=router: fingerprints.part_feature("ee") not in crash_standings(router),
             "it is cleared",
         )
     assert {send(site, router, ("aa", "ee")).status for router in site.routers} == {200}
@@ -270,7 +273,7 @@
         ]
         return click_testing.CliRunner().invoke(ctl.ctl, command, catch_exceptions=False).output
 
-    name = fingerprints.of_part(DEAD)
+    name = fingerprints.part_feature(DEAD)
     (row,) = [line for line in run("list").splitlines() if line.startswith(name)]
     assert "crashes 4  trials 2  refused until 2" in row
     assert run("clear", name) == f"cleared {name}\n"
--- a/testing/daemons/test_crashing_requests.py
+++ b/testing/daemons/test_crashing_requests.py
@@ -164,7 +164,7 @@
     *_, last = send_in_turn(site)
     assert last.status == 503
     assert last.headers["x-run-state"] == "not_run"
-    assert 0 < float(last.headers["retry-after"]) <= suspect_rules.REST_S
+    assert 0 < float(last.headers["retry-after"]) <= suspect_rules.TRIAL_COOLDOWN_S
 
 
 def test_one_that_was_unlucky_three_times_is_served(site):
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -67,8 +67,8 @@
 
 def test_a_refusal_of_a_suspect_goes_on_running_in_a_suspension(suspend, clock):
     known = suspicion.Suspicion(clock, metrics.Metrics())
-    told = suspect_messages.Told("f", 3, refused_for_s=SUSPENDED_S)
-    known.learn(suspect_messages.Change(revision=1, suspects=(told,)))
+    told = suspect_messages.SuspectSummary("f", 3, refused_for_s=SUSPENDED_S)
+    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(told,)))
     assert known.standing("f").refused_for_s == pytest.approx(SUSPENDED_S)
     suspend()
     assert known.standing("f").refused_for_s == 0.0
