--- a/src/croftpulley/bench/cold_starts.py
+++ b/src/croftpulley/bench/cold_starts.py
@@ -73,18 +73,18 @@
 
     def __init__(self) -> None:
         self._chosen: dict[str, bool] = {}
-        self._paces: dict[str, cold.Pace] = {}
+        self._paces: dict[str, cold.SendLimiter] = {}
 
     def renew(self, router: str, boxes: tuple[str, ...], now_s: float) -> None:
         """Take what a renewal tells."""
-        self._chosen[router] = router in choice.order("e", boxes)[: int(TAKES_PER_S)]
+        self._chosen[router] = router in choice.rendezvous_order("e", boxes)[: int(TAKES_PER_S)]
 
     def may_send(self, router: str, now_s: float) -> bool:
         """Take one request if there is one."""
-        pace = self._paces.setdefault(router, cold.Pace())
-        departure = pace.take("e", int(self._chosen.get(router, False)), now_s)
+        pace = self._paces.setdefault(router, cold.SendLimiter())
+        departure = pace.try_reserve("e", int(self._chosen.get(router, False)), now_s)
         if departure is not None:
-            departure.at_s = now_s
+            departure.sent_at_s = now_s
         return departure is not None
 
     def restart(self, router: str, now_s: float) -> None:
@@ -93,31 +93,31 @@
 
 
 class Allotted(Way):
-    """The leader allots parts that end by themselves (`cold.Allotments`)."""
+    """The leader allots parts that end by themselves (`cold.QuotaAllocator`)."""
 
     def __init__(self) -> None:
-        self._leader = cold.Allotments()
+        self._leader = cold.QuotaAllocator()
         self._told: dict[str, tuple[int, float]] = {}
-        self._paces: dict[str, cold.Pace] = {}
+        self._paces: dict[str, cold.SendLimiter] = {}
 
     def renew(self, router: str, boxes: tuple[str, ...], now_s: float) -> None:
         """Take what a renewal tells."""
-        count = self._leader.a_second("e", TAKES_PER_S, router, boxes, now_s)
-        self._told[router] = (count, now_s + cold.ALLOTTED_S)
+        count = self._leader.renew_quota("e", TAKES_PER_S, router, boxes, now_s)
+        self._told[router] = (count, now_s + cold.QUOTA_TTL_S)
 
     def may_send(self, router: str, now_s: float) -> bool:
         """Take one request if there is one."""
         count, until_s = self._told.get(router, (0, 0.0))
-        pace = self._paces.setdefault(router, cold.Pace())
-        departure = pace.take("e", count, now_s) if now_s < until_s else None
+        pace = self._paces.setdefault(router, cold.SendLimiter())
+        departure = pace.try_reserve("e", count, now_s) if now_s < until_s else None
         if departure is not None:
-            departure.at_s = now_s
+            departure.sent_at_s = now_s
         return departure is not None
 
     def restart(self, router: str, now_s: float) -> None:
         """Forget all of this router."""
         self._told.pop(router, None)
-        self._paces[router] = cold.Pace.started(now_s)
+        self._paces[router] = cold.SendLimiter.after_restart(now_s)
 
 
 @attrs.define
--- a/src/croftpulley/bench/origins.py
+++ b/src/croftpulley/bench/origins.py
@@ -80,7 +80,7 @@
     rows = []
     for size in FLEETS:
         boxes = tuple(membership.Box(f"box-{n}", "hall-a", "", f"box-{n}:1") for n in range(size))
-        keepers = peers.Keepers("box-0")
+        keepers = peers.OriginHolders("box-0")
         look_up = functools.partial(_look_up, keepers, boxes)
         first_us = _each_us(1, look_up)
         again_us = _each_us(500, look_up)
@@ -92,9 +92,9 @@
 
 
 def _look_up(
-    keepers: peers.Keepers, boxes: tuple[membership.Box, ...], _number: int
+    keepers: peers.OriginHolders, boxes: tuple[membership.Box, ...], _number: int
 ) -> tuple[membership.Box, ...]:
-    return keepers.of(_told(0).stream, boxes)
+    return keepers.for_stream(_told(0).stream, boxes)
 
 
 def _each_us(count: int, step: Callable[[int], object]) -> float:
--- a/src/croftpulley/bench/rests.py
+++ b/src/croftpulley/bench/rests.py
@@ -351,7 +351,7 @@
             for n in left
         ]
         key = str(self._chance.random())
-        return int(selection.least_busy(key, candidates, "").name)
+        return int(selection.choose_least_busy(key, candidates, "").name)
 
     def _may_send(self, box: _Box, number: int) -> bool:
         if not self._way.obeys:
--- a/src/croftpulley/controllers/directory.py
+++ b/src/croftpulley/controllers/directory.py
@@ -161,7 +161,7 @@
             if box.name in self._reports and not box.draining
         )
         owners = {engine: owner.box for engine, owner in state.owners.items()}
-        for grant in placement.grants(
+        for grant in placement.plan_grants(
             assignable, eligible_boxes, owners, self._reassignable_engines(state)
         ):
             self._commit(agreed.GrantOwnership(grant.engine, grant.box))
--- a/src/croftpulley/controllers/endpoints.py
+++ b/src/croftpulley/controllers/endpoints.py
@@ -30,7 +30,7 @@
         self._platform = platform
         self._view = view
         self._clock = clock
-        self._listed = listed.Listed()
+        self._listed = listed.IncarnationTracker()
         self._spoiled = listing.SpoiledEntries(counters)
         self._read_fails = False
         self._due_at_s = float("-inf")
@@ -51,7 +51,7 @@
             return
         self._read_fails = False
         self._spoiled.found(reading)
-        self._view.publish(self._listed.take(reading.endpoints, self._clock.monotonic_s()))
+        self._view.publish(self._listed.update(reading.endpoints, self._clock.monotonic_s()))
 
 
 @attrs.frozen
--- a/src/croftpulley/controllers/fleet_state.py
+++ b/src/croftpulley/controllers/fleet_state.py
@@ -81,7 +81,7 @@
         known = self._view.get()
         engines = engines_of(self._endpoints.get())
         version = engines_version(engines)
-        give_up = placement.to_give_up(self._box.name, known.directory, self._box.draining)
+        give_up = placement.engines_to_release(self._box.name, known.directory, self._box.draining)
         return messages.Renewal(
             box=self._box,
             configuration_version=known.configuration.version,
--- a/src/croftpulley/controllers/gate.py
+++ b/src/croftpulley/controllers/gate.py
@@ -98,10 +98,10 @@
             if owned.said.is_in_effect(self._clock.monotonic_s()) and not owned.said.leaves:
                 return NotAdmitted(codes.ResultCode.ENDPOINTS_RESTING, -1)
             leaving = owned.engine.leaving or owned.said.leaves
-            code = admission.refusal(owned.count, limits, leaving=leaving)
+            code = admission.refusal_reason(owned.count, limits, leaving=leaving)
             if code is not None:
                 return NotAdmitted(code, owned.count.load)
-            owned.count.enter()
+            owned.count.add_request()
             self._counters.engine_outstanding(engine, owned.count.outstanding)
             return Admitted(owned.engine)
 
@@ -110,7 +110,7 @@
         with self._lock:
             owned = self._owned.get(engine)
             if owned is not None and owned.ownership.epoch == epoch:
-                owned.count.leave()
+                owned.count.remove_request()
                 self._counters.engine_outstanding(engine, owned.count.outstanding)
 
     def hear(self, engine: str, epoch: int, notice: withdrawal.Notice) -> None:
@@ -139,7 +139,7 @@
             owned = self._owned.get(engine)
             if owned is not None:
                 owned.is_asked = True
-                owned.count.ask()
+                owned.count.begin_load_query()
 
     def report(self, engine: str, running: int, slots: int) -> None:
         """Take an engine's load report."""
@@ -176,7 +176,7 @@
         heard = self._terms.heard.get(pool, nothing)
         reported = self._terms.reported.get(pool, nothing)
         listed = self._terms.listed_engines.get(pool, 0)
-        return admission.fresh_mean(heard, reported, self._pool_load(pool), listed)
+        return admission.current_mean_load(heard, reported, self._pool_load(pool), listed)
 
     def give_up(self, engines: tuple[str, ...]) -> tuple[membership.Ownership, ...]:
         """Admit nothing more to ``engines``; return all ownerships given up and not yet moved."""
@@ -227,7 +227,7 @@
         owned = self._owned.get(owner.engine)
         if owned is not None:
             if owned.engine.key != engine.key:
-                owned.count.forget_report()
+                owned.count.discard_report()
                 owned.slots = 0
                 owned.said = withdrawal.Withdrawal()
             owned.engine = engine
--- a/src/croftpulley/controllers/inventory.py
+++ b/src/croftpulley/controllers/inventory.py
@@ -92,7 +92,7 @@
             return
         # The longest first: routers get them in this order, some at a time.
         longest = sorted(kept, key=lambda each: each.tokens, reverse=True)
-        parts = tuple(each.part for each in longest if each.tokens >= places.LEAST_TOKENS)
+        parts = tuple(each.part for each in longest if each.tokens >= places.MIN_PART_TOKENS)
         events.emit(
             _LOG, events.Event.CACHE_READ, engine=engine.key, parts=len(kept), told=len(parts)
         )
--- a/src/croftpulley/controllers/listing.py
+++ b/src/croftpulley/controllers/listing.py
@@ -110,7 +110,7 @@
         self._interval_s = interval_s
         self._clock = clock
         self._spoiled = SpoiledEntries(counters)
-        self._listed = listed.Listed()
+        self._listed = listed.IncarnationTracker()
         self._due_at_s = float("-inf")
         self._read_fails = False
 
@@ -136,14 +136,14 @@
         self._spoiled.found(reading)
         read_at_s = self._clock.monotonic_s()
         known = {each.key: each for each in self._view.get().endpoints.value}
-        kept = self._listed.take(reading.endpoints, read_at_s)
+        kept = self._listed.update(reading.endpoints, read_at_s)
         self._announce(known, kept)
         cold_until_s = {key: read_at_s + left_s for key, left_s in reading.cold_left_s.items()}
         self._view.publish(Listing(versions.Versioned(kept), read_at_s, cold_until_s))
 
     def _leave(self, keys: tuple[str, ...]) -> None:
         """Publish the list with what endpoints said before it does."""
-        news = {each.key: each for each in self._listed.leave(keys)}
+        news = {each.key: each for each in self._listed.mark_leaving(keys)}
         if not news:
             return
         known = self._view.get()
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -69,13 +69,13 @@
 class _Pool:
     """The requests of one pool; ``woken`` are the events that the threads of waiters wait for."""
 
-    line: waiting_line.Line = attrs.field(factory=waiting_line.Line)
+    line: waiting_line.PermitQueue = attrs.field(factory=waiting_line.PermitQueue)
     woken: dict[waiting_line.Waiter, threading.Event] = attrs.field(factory=dict)
     granted: set[waiting_line.Waiter] = attrs.field(factory=set)
     objective_s: float = float("inf")
     """The shortest of those that its requests had."""
     heard_from: router_state.RouterState | None = None
-    heard: permits.Heard | None = None
+    heard: permits.PoolSnapshot | None = None
 
 
 class Permits:
@@ -106,18 +106,20 @@
         with self._lock:
             pool = self._pools.setdefault(request.pool, _Pool())
             pool.objective_s = min(pool.objective_s, request.objective_s)
-            asked = pool.line.ask(waiter, self._most(request.pool, pool, began_s), began_s)
+            asked = pool.line.request_permit(
+                waiter, self._most(request.pool, pool, began_s), began_s
+            )
             if asked.outcome is waiting_line.Outcome.GRANTED:
                 return Permit(request.pool, began_s)
             if asked.outcome is waiting_line.Outcome.REFUSED:
                 raise NoPermitError(request.pool, asked.figures, 0.0)
             woken = pool.woken[waiter] = threading.Event()
-            for each in asked.pushed_out:
+            for each in asked.evicted:
                 pool.woken[each].set()
         self._wait(request, pool, waiter, woken)
         with self._lock:
             now_s = self._clock.monotonic_s()
-            pool.line.leave(waiter)
+            pool.line.remove(waiter)
             del pool.woken[waiter]
             if waiter in pool.granted:
                 pool.granted.remove(waiter)
@@ -172,7 +174,7 @@
             request.token.forget(woken.set)
 
     def _give_back(self, permit: Permit, pool: _Pool, now_s: float) -> None:
-        pool.line.give_back(now_s - permit.since_s)
+        pool.line.release(now_s - permit.since_s)
         self._grant(permit.pool, pool, now_s)
 
     def _grant(self, name: str, pool: _Pool, now_s: float) -> None:
@@ -188,13 +190,15 @@
         if pool.heard is None or pool.heard_from is not state:
             pool.heard = self._heard(name, pool, state)
             pool.heard_from = state
-        if not pool.heard.room:
+        if not pool.heard.capacity:
             # No endpoint may be asked: placing the request tells its caller why.
             return float("inf")
         chance = returns.hash_fraction(f"{self._box_name}/{name}")
-        return permits.whole(pool.heard.part(now_s), chance)
+        return permits.round_permits(pool.heard.permit_share(now_s), chance)
 
-    def _heard(self, name: str, pool: _Pool, state: router_state.RouterState) -> permits.Heard:
+    def _heard(
+        self, name: str, pool: _Pool, state: router_state.RouterState
+    ) -> permits.PoolSnapshot:
         """Return what the last renewal told of a pool, less the endpoints that may not be asked."""
         of_pool = [each for each in state.endpoints if each.pool == name]
         withdrawn = self._counts.withdrawn().keys()
@@ -203,14 +207,14 @@
         usual = configured.slots if configured else 0
         slots = [each.slots or usual for each in open_now]
         total = sum(state.loads.get(each.key, 0) for each in open_now)
-        worked_s = permits.work_s(pool.line.hold_s, sum(slots), total)
+        worked_s = permits.estimated_service_time_s(pool.line.hold_s, sum(slots), total)
         is_brittle = self._counts.most_turned_away(name) is not None
-        queued = permits.queued(pool.objective_s, worked_s)
-        return permits.Heard(
+        queued = permits.queue_ratio(pool.objective_s, worked_s)
+        return permits.PoolSnapshot(
             own=sum(state.own_loads.get(each.key, 0) for each in open_now),
             total=total,
-            room=permits.room(slots, 0.0 if is_brittle else queued),
-            few=permits.FEW_BRITTLE if is_brittle else permits.FEW,
+            capacity=permits.pool_capacity(slots, 0.0 if is_brittle else queued),
+            min_permits=permits.MIN_PERMITS_BRITTLE if is_brittle else permits.MIN_PERMITS,
             boxes=state.registered_boxes - state.unreached.get(name, 0),
             at_s=state.loads_at_s,
         )
--- a/src/croftpulley/controllers/reach.py
+++ b/src/croftpulley/controllers/reach.py
@@ -58,7 +58,7 @@
         """Tell whether some endpoint of a pool was reached lately; waits while others are tried."""
         with self._lock:
             known = self._pools.setdefault(pool, core.PoolReach())
-            self._lock.wait_for(lambda: not known.is_looked_at, 2 * LOOK_TIMEOUT_S)
+            self._lock.wait_for(lambda: not known.is_probing, 2 * LOOK_TIMEOUT_S)
             return known.is_reached(self._clock.monotonic_s())
 
     def take_answered(self) -> tuple[str, ...]:
@@ -88,12 +88,12 @@
         dialer: dialing.Dialer,
     ) -> None:
         """Find out whether any other endpoint of a pool is reached; the way is lost if none is."""
-        looked_at = random.sample(others, min(core.MOST_LOOKED_AT, len(others)))
+        looked_at = random.sample(others, min(core.MAX_PROBED_ENDPOINTS, len(others)))
         addresses = [each.address for each in looked_at]
         is_reached = dialer.first_to_listen(addresses, LOOK_TIMEOUT_S) is not None
         with self._lock:
             now_s = self._clock.monotonic_s()
-            is_new = self._pool(endpoint).looked(is_reached=is_reached, now_s=now_s)
+            is_new = self._pool(endpoint).probed(is_reached=is_reached, now_s=now_s)
             self._know_lost()
             self._lock.notify_all()
         if is_new:
@@ -119,13 +119,13 @@
                 size = len(of_pool)
                 doubtful = known.broken(size) or known.silent(size, self._clock.monotonic_s())
             if not doubtful and self._lost:
-                doubtful = known.untold(of_pool, self._clock.monotonic_s())
+                doubtful = known.unheard(of_pool, self._clock.monotonic_s())
         return [of_pool[key] for key in doubtful if key in of_pool]
 
     def mute(self, endpoint: membership.Endpoint) -> None:
         """Take it that connections to a pool's endpoints, such as this one, say nothing."""
         with self._lock:
-            self._pool(endpoint).mute()
+            self._pool(endpoint).mark_unresponsive()
             self._know_lost()
         self._tell(events.Event.POOL_OUT_OF_REACH, endpoint, is_lost=True)
 
@@ -151,7 +151,7 @@
         """Note that the head of an endpoint's answer is there."""
         with self._lock:
             known = self._pool(endpoint)
-            was_mute = known.is_mute
+            was_mute = known.is_unresponsive
             failed = known.answered(endpoint.key, self._clock.monotonic_s())
             self._answered.add(endpoint.pool)
             self._know_lost()
@@ -171,7 +171,7 @@
 
     def _know_lost(self) -> None:
         self._lost = frozenset(
-            name for name, each in self._pools.items() if each.is_lost or each.is_mute
+            name for name, each in self._pools.items() if each.is_lost or each.is_unresponsive
         )
 
     def _tell(self, event: events.Event, endpoint: membership.Endpoint, *, is_lost: bool) -> None:
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -103,7 +103,7 @@
         self._links = links.Links(timeout_s, counters)
         self._fetch = configuration_fetch.ConfigurationFetch(self._links, clock, chance)
         self._fetches = False
-        self._believed = listed_endpoints.Listed()
+        self._believed = listed_endpoints.IncarnationTracker()
         self._stated: versions.Versioned[listing.Endpoints] = versions.Versioned(())
         self._stated_keys: list[str] = []
         self._leader = ""
@@ -166,7 +166,7 @@
     def _use(self, fetched: configuration_fetch.Fetched) -> None:
         """Publish a configuration made ready; an older one is never fetched."""
         configuration = attrs.evolve(self._format.parse(fetched.document), version=fetched.version)
-        made = tables.Tables(configuration)
+        made = tables.LookupTables(configuration)
         self._view.publish(attrs.evolve(self._view.get(), tables=made))
         events.emit(
             _LOG,
@@ -215,7 +215,9 @@
                 return
             address = answer.leader_address
 
-    def _ask(self, address: str, own_loads: listed_counts.Load) -> box_messages.BoxReportAnswer:
+    def _ask(
+        self, address: str, own_loads: listed_counts.EndpointLoads
+    ) -> box_messages.BoxReportAnswer:
         known = self._view.get()
         report = box_messages.BoxReport(
             box=self._box,
@@ -246,7 +248,10 @@
         return json_codec.decode(body, box_messages.BoxReportAnswer)
 
     def _granted(
-        self, answer: box_messages.BoxReportAnswer, sent_at_s: float, own_loads: listed_counts.Load
+        self,
+        answer: box_messages.BoxReportAnswer,
+        sent_at_s: float,
+        own_loads: listed_counts.EndpointLoads,
     ) -> None:
         if self._fails:
             events.emit(_LOG, events.Event.RENEWED_AGAIN, leader_address=self._leader)
@@ -299,7 +304,10 @@
         self._addresses = tuple(dict.fromkeys(known))
 
     def _take(
-        self, answer: box_messages.BoxReportAnswer, sent_at_s: float, own_loads: listed_counts.Load
+        self,
+        answer: box_messages.BoxReportAnswer,
+        sent_at_s: float,
+        own_loads: listed_counts.EndpointLoads,
     ) -> None:
         known = self._view.get()
         self._suspected.learn(answer.suspects)
@@ -311,7 +319,7 @@
         # A box that has just started gets its notes page by page; until it has them all it sends
         # prompts to engines that do not hold them.
         taken = sum(len(parts) for parts in answer.notes.values())
-        self._more_notes = taken >= places.NOTES_AN_ANSWER
+        self._more_notes = taken >= places.MAX_NOTES_PER_RESPONSE
         self._fetch.aim(answer.configuration_version)
         if answer.loads is not None:
             known = attrs.evolve(
@@ -347,7 +355,7 @@
         if answer.boxes is not None:
             changed = attrs.evolve(changed, boxes=answer.boxes, boxes_version=answer.boxes_version)
             events.emit(_LOG, events.Event.BOXES_CHANGED, boxes=[box.name for box in answer.boxes])
-        if answer.endpoints or self._believed.has_doubts:
+        if answer.endpoints or self._believed.has_stale_entries:
             changed = self._with_endpoints(changed, self._stated)
         self._counts.learn_notes(answer.notes)
         self._view.publish(changed)
@@ -362,7 +370,7 @@
         kept = state.without_old_returns(self._clock.monotonic_s())
         if answer.endpoints_version != self._stated.version:
             return kept
-        told = cold.told_back(self._by_key(answer.cold, answer))
+        told = cold.decode_quotas(self._by_key(answer.cold, answer))
         return attrs.evolve(kept, cold=told, cold_at_s=sent_at_s)
 
     def _by_key(
@@ -371,7 +379,7 @@
         """Return counts by endpoint; none where this box holds another list than they go by."""
         if answer.endpoints_version != self._stated.version:
             return {}
-        return listed_counts.by_key(numbers, self._stated_keys)
+        return listed_counts.decode_counts(numbers, self._stated_keys)
 
     def _state_list(self, stated: versions.Versioned[listing.Endpoints]) -> None:
         """Take a list as it was told or read; its keys are made once, not at each answer."""
@@ -382,7 +390,7 @@
         self, state: router_state.RouterState, stated: versions.Versioned[listing.Endpoints]
     ) -> router_state.RouterState:
         """Return the state with what is believed of a list; lives that ended are forgotten."""
-        endpoints = self._believed.take(stated.value, self._clock.monotonic_s())
+        endpoints = self._believed.update(stated.value, self._clock.monotonic_s())
         self._counts.keep(endpoints)
         self._suspected.keep(endpoints)
         self._origins.keep(endpoints)
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -57,7 +57,7 @@
 class PostNotes:
     """Says which parts of prompts an engine keeps."""
 
-    notes: places.Notes
+    notes: places.NotesByEngine
 
 
 @attrs.frozen
@@ -128,7 +128,7 @@
         self._endpoints = endpoints
         self._cold_per_s = cold_per_s
         self._tell_leaving = tell_leaving
-        self._allotments = cold.Allotments()
+        self._allotments = cold.QuotaAllocator()
         self._lease_s = lease_s
         self._clock = clock
         self._sessions = sessions.Sessions(lease_s, margin_s)
@@ -138,7 +138,7 @@
         self._registering: set[str] = set()
         self._forgetting: set[str] = set()
         self._forget_at_s: dict[str, float] = {}
-        self._bulletin = places.Bulletin()
+        self._bulletin = places.NoteLog()
         self._outcomes = outcomes.OutlierDetector()
         self._answering = answering.RecentPoolResponses()
         self._unreached: dict[str, frozenset[str]] = {}
@@ -158,7 +158,7 @@
                 # Notes may be the first that is heard of a new leadership, which begins a bulletin
                 # of its own: posted to the old one they would be lost.
                 if self._leads():
-                    self._bulletin.post(places.each_note(notes))
+                    self._bulletin.append(places.iterate_notes(notes))
             case actors.Tick():
                 self._tick()
             case Status():
@@ -179,7 +179,7 @@
             self._forgetting.clear()
             self._forget_at_s.clear()
             # Another leader's numbers must not be taken for these.
-            self._bulletin = places.Bulletin(standing.term * _NOTES_A_TERM)
+            self._bulletin = places.NoteLog(standing.term * _NOTES_A_TERM)
             self._leads_from_s = now_s
             self._allotments.begin(now_s)
             self._sessions.begin(tuple(self._agreement.read().boxes), now_s)
@@ -206,7 +206,7 @@
             return attrs.evolve(self._answer(report, state), lease_s=0.0)
         self._forget_at_s.pop(report.box.name, None)
         now_s = self._clock.monotonic_s()
-        self._bulletin.post(places.each_note(report.notes))
+        self._bulletin.append(places.iterate_notes(report.notes))
         self._outcomes.add(report.outcomes, now_s)
         self._answering.note(report.box.name, report.answered, now_s)
         if report.leaving:
@@ -218,7 +218,7 @@
         changed = self._sessions.renew(
             report.box,
             sessions.Known(report.configuration_version, report.halls_revision),
-            listed_counts.Load(
+            listed_counts.EndpointLoads(
                 report.in_flight, report.reading_tokens, report.resting_s, report.unreached
             ),
             now_s,
@@ -260,7 +260,7 @@
         # the sum, and nothing that it reported before.
         loads = self._sessions.loads()
         are_whole = self._are_loads_whole()
-        page = self._bulletin.since(report.next_note)
+        page = self._bulletin.read_from(report.next_note)
         notes = [note for note in page.notes if self._is_life(note.engine, listed)]
         return box_messages.BoxReportAnswer(
             lease_s=self._lease_s,
@@ -274,10 +274,10 @@
             boxes=self._boxes.unless(report.boxes_version),
             endpoints_version=listed.endpoints.version,
             endpoints=self._newer_endpoints(listed, report.endpoints_version),
-            loads=listed_counts.in_order(loads.in_flight, order) if are_whole else None,
-            reading_tokens=listed_counts.in_order(loads.reading_tokens, order),
-            cold=listed_counts.in_order(self._cold(report.box.name, listed), order),
-            notes=places.by_engine(notes),
+            loads=listed_counts.encode_counts(loads.in_flight, order) if are_whole else None,
+            reading_tokens=listed_counts.encode_counts(loads.reading_tokens, order),
+            cold=listed_counts.encode_counts(self._cold(report.box.name, listed), order),
+            notes=places.group_by_engine(notes),
             next_note=page.next_number,
             held_off=self._outcomes.held(self._clock.monotonic_s()),
             unreached={pool: len(names) for pool, names in self._unreached.items()},
@@ -298,9 +298,9 @@
             return {}
         takes_per_s = self._cold_per_s()
         boxes = tuple(each.name for each in self._boxes.value if not each.draining)
-        return cold.told(
+        return cold.encode_quotas(
             {
-                each.key: self._allotments.a_second(
+                each.key: self._allotments.renew_quota(
                     each.key, takes_per_s[each.pool], box, boxes, now_s
                 )
                 for each in cold_now
@@ -351,7 +351,7 @@
         # Not at each renewal: that would cost all boxes' work for each of them.
         self._boxes.set(self._sessions.boxes(now_s))
         self._forget(now_s)
-        self._allotments.forget(now_s)
+        self._allotments.drop_unused(now_s)
         self._answering.forget(now_s)
         self._unreached = self._sessions.unreached()
         self._judge(now_s)
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -61,10 +61,10 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._origins = origins.Origins()
-        self._keepers = peers.Keepers(box)
+        self._keepers = peers.OriginHolders(box)
         self._links = links.Links(TIMEOUT_S, counters, MOST_CONNECTIONS)
         self._links_lock = threading.Lock()
-        self._avoided = peers.Avoided(AVOIDED_S)
+        self._avoided = peers.RecentFailures(AVOIDED_S)
         self._seen_at_s: dict[tuple[str, str], float] = {}
         self.on_news: Callable[[], None] = lambda: None
         """Called where there is something to tell; set once, before requests come."""
@@ -110,7 +110,7 @@
 
     def _tell_at_once(self, told: origins.Told, state: router_state.RouterState) -> None:
         """Return once one box has taken it that is asked by others, or where there is none."""
-        boxes = self._by_answers(self._keepers.of(told.stream, state.boxes))
+        boxes = self._by_answers(self._keepers.for_stream(told.stream, state.boxes))
         message = box_messages.OriginsTold(streams=(told,))
         if boxes and not any(self.tell(each, message) for each in boxes):
             raise errors.CroftpulleyError(
@@ -128,7 +128,7 @@
         if own is not None:
             return Found(own.origin, self._box)
         state = self._view.get()
-        for each in self._by_answers(self._keepers.of(stream, state.boxes)):
+        for each in self._by_answers(self._keepers.for_stream(stream, state.boxes)):
             answer = self._ask(each, stream)
             if answer is not None and answer.is_known:
                 return Found(answer.origin, each.name)
@@ -180,7 +180,7 @@
 
     def to_tell(self, stream: origins.StreamId) -> tuple[membership.Box, ...]:
         """Return the boxes that are to keep a stream, beside this one."""
-        return self._keepers.of(stream, self._view.get().boxes)[: peers.TOLD]
+        return self._keepers.for_stream(stream, self._view.get().boxes)[: peers.ORIGIN_COPIES]
 
     def forget(self) -> None:
         """Drop what is kept no longer, and the links to boxes that are gone."""
@@ -192,7 +192,7 @@
 
     def is_avoided(self, box: membership.Box) -> bool:
         """Tell whether a box did not answer a moment ago."""
-        return self._avoided.holds(box.name, self._clock.monotonic_s())
+        return self._avoided.has_failed_recently(box.name, self._clock.monotonic_s())
 
     def tell(self, box: membership.Box, message: box_messages.OriginsTold) -> bool:
         """Tell another box; return whether it remembers now."""
@@ -236,7 +236,7 @@
         super().__init__()
         self._known = known
         self._view = view
-        self._keepers_before = peers.Keepers(box)
+        self._keepers_before = peers.OriginHolders(box)
         self._boxes: tuple[membership.Box, ...] = ()
         self._is_asked = False
 
@@ -268,7 +268,10 @@
     def _added(
         self, stream: origins.StreamId, before: tuple[membership.Box, ...]
     ) -> tuple[membership.Box, ...]:
-        known = {each.name for each in self._keepers_before.of(stream, before)[: peers.TOLD]}
+        known = {
+            each.name
+            for each in self._keepers_before.for_stream(stream, before)[: peers.ORIGIN_COPIES]
+        }
         return tuple(each for each in self._known.to_tell(stream) if each.name not in known)
 
     def _tell(
--- a/src/croftpulley/controllers/traffic.py
+++ b/src/croftpulley/controllers/traffic.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         allowance: retry_budget.Allowance,
-        rates: selection.Rates,
+        rates: selection.CostRates,
         clock: clocks.Clock,
         *,
         shares_room: bool = False,
@@ -51,7 +51,7 @@
         self._records = records.Records()
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
         self._extra_share = retry_budget.ExtraShare()
-        self._pace = cold.Pace.started(clock.monotonic_s())
+        self._pace = cold.SendLimiter.after_restart(clock.monotonic_s())
         self._heard = heard_loads.HeardLoads()
         self._shares_room = shares_room
         self._brittle = brittle.BrittleEndpoints()
@@ -73,11 +73,11 @@
 
         self._change(endpoint, count)
 
-    def load(self) -> listed_counts.Load:
+    def load(self) -> listed_counts.EndpointLoads:
         """Return what is not 0 of requests, of tokens to be read and of rests."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            return listed_counts.Load(
+            return listed_counts.EndpointLoads(
                 self._records.in_flight(),
                 self._records.reading_tokens(),
                 self._records.resting_s(now_s),
@@ -92,8 +92,8 @@
 
         with self._lock:
             self._records.update(engine, count)
-            for part in facts.shared:
-                self._records.note_own(places.Note(part.part, engine), now_s)
+            for part in facts.shared_prefix:
+                self._records.note_own(places.Note(part.part_id, engine), now_s)
 
     def end_reading(self, engine: str, tokens: int) -> None:
         """Count out tokens that were read, or are read no more."""
@@ -109,28 +109,28 @@
         held: dict[str, int] = {}
         tokens = 0
         with self._lock:
-            for part in facts.shared:
+            for part in facts.shared_prefix:
                 tokens += part.tokens
-                for engine in self._records.holders(part.part, now_s):
+                for engine in self._records.holders(part.part_id, now_s):
                     # Whoever was sent a part was sent all parts before it.
                     held[engine] = tokens
         return held
 
-    def take_notes(self) -> places.Notes:
+    def take_notes(self) -> places.NotesByEngine:
         """Return the notes made since the last call."""
         with self._lock:
             return self._records.take_notes()
 
-    def give_back_notes(self, notes: places.Notes) -> None:
+    def give_back_notes(self, notes: places.NotesByEngine) -> None:
         """Take back notes that reached nobody; they go out with the next report."""
         with self._lock:
             self._records.requeue_notes(notes)
 
-    def learn_notes(self, notes: places.Notes) -> None:
+    def learn_notes(self, notes: places.NotesByEngine) -> None:
         """Take the notes of other boxes, and one's own once more."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            for note in places.each_note(notes):
+            for note in places.iterate_notes(notes):
                 self._records.note(note, now_s)
 
     def candidates(
@@ -148,7 +148,7 @@
         # What others' requests had to read has been read on since it was reported.
         now_s = self._clock.monotonic_s()
         age_s = now_s - state.loads_at_s
-        read_since = self._rates.read_tokens_a_ms * 1000 * age_s
+        read_since = self._rates.prefill_tokens_per_ms * 1000 * age_s
         with self._lock:
             differs = heard.reads | held_tokens.keys() | self._records.recorded_keys()
             return [
@@ -348,15 +348,15 @@
         with self._lock:
             return self._pace.may_send(endpoint, a_second, self._clock.monotonic_s())
 
-    def take_cold(self, endpoint: str, a_second: int) -> cold.Departure | None:
+    def take_cold(self, endpoint: str, a_second: int) -> cold.SendRecord | None:
         """Count a request towards a cold endpoint's pace, if it may have one more."""
         with self._lock:
-            return self._pace.take(endpoint, a_second, self._clock.monotonic_s())
+            return self._pace.try_reserve(endpoint, a_second, self._clock.monotonic_s())
 
-    def cold_leaves(self, departure: cold.Departure) -> None:
+    def cold_leaves(self, departure: cold.SendRecord) -> None:
         """Have a request to a cold endpoint count from now on: its bytes leave, or never will."""
         with self._lock:
-            departure.at_s = self._clock.monotonic_s()
+            departure.sent_at_s = self._clock.monotonic_s()
 
     def request(self, pool: str) -> None:
         """Count a request towards the pool's retry budget."""
--- a/src/croftpulley/core/admission.py
+++ b/src/croftpulley/core/admission.py
@@ -26,16 +26,16 @@
         """Requests at the engine, tracked or not."""
         return self.outstanding + self.untracked
 
-    def enter(self) -> None:
+    def add_request(self) -> None:
         """Count a request that starts."""
         self.outstanding += 1
         self.peak_since_query = max(self.peak_since_query, self.outstanding)
 
-    def leave(self) -> None:
+    def remove_request(self) -> None:
         """Count a request that has ended."""
         self.outstanding -= 1
 
-    def ask(self) -> None:
+    def begin_load_query(self) -> None:
         """Note that a load report is about to be requested from the engine."""
         self.peak_since_query = self.outstanding
 
@@ -48,19 +48,19 @@
         """
         self.untracked = max(0, running - self.peak_since_query)
 
-    def forget_report(self) -> None:
+    def discard_report(self) -> None:
         """Discard the untracked load of an engine that restarted.
 
         Requests of this owner that the restart broke are counted out as they fail.
 
         >>> count = EngineCount(outstanding=2, untracked=5)
-        >>> count.forget_report(); count.load
+        >>> count.discard_report(); count.load
         2
         """
         self.untracked = 0
 
 
-def fresh_mean(
+def current_mean_load(
     heard: membership.PoolLoad,
     reported: membership.PoolLoad,
     current: membership.PoolLoad,
@@ -77,7 +77,7 @@
     the mean and overload an engine (``testing/test_surge.py``). Without engines the mean is 0.
 
     >>> load = membership.PoolLoad
-    >>> fresh_mean(load("llm", 4, 4), load("llm", 2, 2), load("llm", 10, 2))
+    >>> current_mean_load(load("llm", 4, 4), load("llm", 2, 2), load("llm", 10, 2))
     3.0
     """
     outstanding = heard.outstanding - reported.outstanding + current.outstanding
@@ -110,13 +110,13 @@
         return min(cap, self.slots) if self.slots else cap
 
 
-def refusal(count: EngineCount, limits: Limits, *, leaving: bool) -> codes.ResultCode | None:
+def refusal_reason(count: EngineCount, limits: Limits, *, leaving: bool) -> codes.ResultCode | None:
     """Return why the engine can't accept one more request, or ``None`` if it can.
 
     >>> limits = Limits(cap_multiple=1.25, mean=4.0)
-    >>> refusal(EngineCount(outstanding=5), limits, leaving=False) is None
+    >>> refusal_reason(EngineCount(outstanding=5), limits, leaving=False) is None
     True
-    >>> refusal(EngineCount(outstanding=6), limits, leaving=False).name
+    >>> refusal_reason(EngineCount(outstanding=6), limits, leaving=False).name
     'NO_CAPACITY'
     """
     if leaving:
--- a/src/croftpulley/core/calls.py
+++ b/src/croftpulley/core/calls.py
@@ -12,7 +12,7 @@
 class PromptPart:
     """A part of a prompt. Requests with the same part id begin with the same text."""
 
-    part: str
+    part_id: str
     tokens: int
 
 
@@ -30,14 +30,14 @@
     resumes."""
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def shared_prefix(self) -> tuple[PromptPart, ...]:
         """The prompt's prefix that other requests may share: all parts but the last."""
         return self.prompt[:-1]
 
     @property
-    def shared_names(self) -> list[str]:
+    def shared_part_ids(self) -> list[str]:
         """The ids of the first parts of the shared prefix, for a log line."""
-        return [part.part for part in self.shared[:MAX_LOGGED_PARTS]]
+        return [part.part_id for part in self.shared_prefix[:MAX_LOGGED_PARTS]]
 
     @property
     def prompt_tokens(self) -> int:
@@ -47,14 +47,14 @@
     @property
     def shared_tokens(self) -> int:
         """The number of tokens in the shared prefix."""
-        return sum(part.tokens for part in self.shared)
+        return sum(part.tokens for part in self.shared_prefix)
 
 
 def parse_prompt(text: str) -> tuple[PromptPart, ...]:
     """Parse ``ID:TOKENS,ID:TOKENS``. Return no parts if any item is malformed.
 
     >>> parse_prompt("5c:800, e4:250")
-    (PromptPart(part='5c', tokens=800), PromptPart(part='e4', tokens=250))
+    (PromptPart(part_id='5c', tokens=800), PromptPart(part_id='e4', tokens=250))
     >>> parse_prompt("nonsense")
     ()
     """
--- a/src/croftpulley/core/choice.py
+++ b/src/croftpulley/core/choice.py
@@ -15,10 +15,10 @@
 from croftpulley.core import membership
 
 
-def order(key: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """Return ``names`` in the order of preference for ``key``, which doesn't depend on their order.
 
-    >>> order("chat-1", ["a", "b", "c"]) == order("chat-1", ["c", "a", "b"])
+    >>> rendezvous_order("chat-1", ["a", "b", "c"]) == rendezvous_order("chat-1", ["c", "a", "b"])
     True
     """
     return sorted(names, key=lambda name: _weight(key, name), reverse=True)
@@ -54,7 +54,7 @@
         for engine in directory.engines
         if engine.pool == pool and not engine.leaving
     }
-    return [usable[name] for name in order(key, usable)]
+    return [usable[name] for name in rendezvous_order(key, usable)]
 
 
 def entry_boxes(
@@ -66,7 +66,7 @@
     between boxes. Draining boxes are left out.
     """
     named = {box.name: box for box in directory.boxes if not box.draining}
-    boxes = [named[name] for name in order(key, named)]
+    boxes = [named[name] for name in rendezvous_order(key, named)]
     engines = engines_for(key, pool, directory) if pool else []
     owner = directory.owner_of(engines[0].name) if engines else None
     if owner is None or owner.box not in named:
--- a/src/croftpulley/core/cold.py
+++ b/src/croftpulley/core/cold.py
@@ -20,11 +20,11 @@
 
 WINDOW_S = 1.0
 """The length of the sliding window in which requests are counted."""
-ALLOTTED_S = 1.0
+QUOTA_TTL_S = 1.0
 """How long a quota is valid. Three further renewals may fail before it expires."""
 CLOCK_MARGIN_S = 0.1
 """Allowance for clock drift while a quota is valid, and for a request that is sent late."""
-RETURNED_S = 2.5
+RETURNED_HALL_COLD_S = 2.5
 """How long the endpoints of a data hall that returns to service count as cold. They may have turned
 cold while they got no requests. By the users' settings, the list of endpoints shows that 0.8 s
 later; it is read every 0.5 s and reaches boxes with their next renewal."""
@@ -68,12 +68,12 @@
 
 
 @attrs.define
-class Allotments:
+class QuotaAllocator:
     """Allocates the quotas of all cold endpoints, at the leading control box.
 
-    >>> made = Allotments()
-    >>> made.begin(now_s=0.0)
-    >>> [made.a_second("e", 4.0, "a", ("a", "b"), now_s) for now_s in (1.0, 9.0)]
+    >>> allocator = QuotaAllocator()
+    >>> allocator.begin(now_s=0.0)
+    >>> [allocator.renew_quota("e", 4.0, "a", ("a", "b"), now_s) for now_s in (1.0, 9.0)]
     [0, 2]
     """
 
@@ -88,7 +88,7 @@
         self._by_endpoint.clear()
         self._allocates_from_s = now_s + _QUOTA_HOLD_S
 
-    def a_second(
+    def renew_quota(
         self, endpoint: str, max_per_s: float, box: str, boxes: Sequence[str], now_s: float
     ) -> int:
         """Renew the quota of ``box`` for ``endpoint`` and return how many requests it may send.
@@ -110,7 +110,7 @@
         quota.drop_expired(now_s)
         return quota.renew(box, now_s)
 
-    def forget(self, now_s: float) -> None:
+    def drop_unused(self, now_s: float) -> None:
         """Drop the endpoints for which no box holds a quota any more."""
         for endpoint, quota in list(self._by_endpoint.items()):
             quota.drop_expired(now_s)
@@ -118,58 +118,58 @@
                 del self._by_endpoint[endpoint]
 
 
-_QUOTA_HOLD_S = ALLOTTED_S + WINDOW_S + CLOCK_MARGIN_S
+_QUOTA_HOLD_S = QUOTA_TTL_S + WINDOW_S + CLOCK_MARGIN_S
 
 
 def _divide(endpoint: str, total: int, boxes: Sequence[str]) -> dict[str, int]:
     """Divide an endpoint's limit in whole requests among as many boxes as possible."""
     each, rest = divmod(total, max(1, len(boxes)))
-    ordered = choice.order(endpoint, boxes)[:total]
+    ordered = choice.rendezvous_order(endpoint, boxes)[:total]
     return {box: each + (position < rest) for position, box in enumerate(ordered)}
 
 
 @attrs.define
-class Departure:
+class SendRecord:
     """A request to a cold endpoint. ``sent_at_s``, when its last byte left, is infinite before."""
 
-    at_s: float = float("inf")
+    sent_at_s: float = float("inf")
 
 
 @attrs.define
-class Pace:
+class SendLimiter:
     """Limits what one box sends to each cold endpoint within the window.
 
     A box that has just started doesn't know what it sent before, so it sends nothing until
     ``open_from_s``.
 
-    >>> pace = Pace()
-    >>> first = pace.take("e", 1, 0.0)
-    >>> pace.may_send("e", 1, 5.0)
+    >>> limiter = SendLimiter()
+    >>> first = limiter.try_reserve("e", 1, 0.0)
+    >>> limiter.may_send("e", 1, 5.0)
     False
-    >>> first.at_s = 5.0
-    >>> pace.may_send("e", 1, 5.9), pace.may_send("e", 1, 6.2)
+    >>> first.sent_at_s = 5.0
+    >>> limiter.may_send("e", 1, 5.9), limiter.may_send("e", 1, 6.2)
     (False, True)
     """
 
     open_from_s: float = float("-inf")
-    _sent: dict[str, list[Departure]] = attrs.field(factory=dict)
+    _sent: dict[str, list[SendRecord]] = attrs.field(factory=dict)
 
     @classmethod
-    def started(cls, now_s: float) -> Pace:
+    def after_restart(cls, now_s: float) -> SendLimiter:
         """Return the limiter of a box that starts now."""
         return cls(now_s + WINDOW_S + CLOCK_MARGIN_S)
 
     def may_send(self, endpoint: str, quota_per_s: int, now_s: float) -> bool:
         """Return whether one more request is within the box's quota."""
         since_s = now_s - WINDOW_S - CLOCK_MARGIN_S
-        counted = [each for each in self._sent.get(endpoint, ()) if each.at_s > since_s]
+        counted = [each for each in self._sent.get(endpoint, ()) if each.sent_at_s > since_s]
         if counted:
             self._sent[endpoint] = counted
         else:
             self._sent.pop(endpoint, None)
         return now_s >= self.open_from_s and len(counted) < quota_per_s
 
-    def take(self, endpoint: str, quota_per_s: int, now_s: float) -> Departure | None:
+    def try_reserve(self, endpoint: str, quota_per_s: int, now_s: float) -> SendRecord | None:
         """Count a request against the quota; return its record, or ``None`` if the quota is used
         up.
 
@@ -178,20 +178,20 @@
         """
         if not self.may_send(endpoint, quota_per_s, now_s):
             return None
-        departure = Departure()
+        departure = SendRecord()
         self._sent.setdefault(endpoint, []).append(departure)
         return departure
 
 
-def told(quotas_per_s: Mapping[str, int]) -> dict[str, int]:
+def encode_quotas(quotas_per_s: Mapping[str, int]) -> dict[str, int]:
     """Return quotas as they are sent to a box: each plus 1, because counts of 0 aren't sent."""
     return {endpoint: count + 1 for endpoint, count in quotas_per_s.items()}
 
 
-def told_back(counts: Mapping[str, int]) -> dict[str, int]:
+def decode_quotas(counts: Mapping[str, int]) -> dict[str, int]:
     """Return the quotas that `encode_quotas` encoded.
 
-    >>> told_back(told({"e": 0, "f": 2}))
+    >>> decode_quotas(encode_quotas({"e": 0, "f": 2}))
     {'e': 0, 'f': 2}
     """
     return {endpoint: count - 1 for endpoint, count in counts.items()}
--- a/src/croftpulley/core/listed.py
+++ b/src/croftpulley/core/listed.py
@@ -34,24 +34,24 @@
 
 
 @attrs.define
-class Listed:
+class IncarnationTracker:
     """Resolves the incarnation of each endpoint from successive reads of the list.
 
     >>> def born(at_ms):
     ...     kind = membership.EndpointKind.WORKER
     ...     return membership.Endpoint("w", kind, "desk", "127.0.0.1:1", "a", "w", born_ms=at_ms)
-    >>> listed = Listed()
-    >>> [listed.take([born(at_ms)], now_s)[0].born_ms for at_ms, now_s in ((2, 0.0), (1, 1.0))]
+    >>> tracker = IncarnationTracker()
+    >>> [tracker.update([born(at_ms)], now_s)[0].born_ms for at_ms, now_s in ((2, 0.0), (1, 1.0))]
     [2, 2]
-    >>> listed.has_doubts, listed.take([born(1)], 6.0)[0].born_ms
+    >>> tracker.has_stale_entries, tracker.update([born(1)], 6.0)[0].born_ms
     (True, 1)
     """
 
     _tracked: dict[str, _TrackedEndpoint] = attrs.field(factory=dict)
-    has_doubts: bool = False
+    has_stale_entries: bool = False
     """Whether the last list showed an older incarnation, which may turn out to be correct."""
 
-    def take(
+    def update(
         self, read: Iterable[membership.Endpoint], now_s: float
     ) -> tuple[membership.Endpoint, ...]:
         """Process a list as read. Return the incarnations that count, one for each name listed."""
@@ -59,12 +59,12 @@
         for name, held in self._tracked.items():
             if name not in latest or latest[name].key != held.endpoint.key:
                 held.missing_since_s = min(held.missing_since_s, now_s)
-        self.has_doubts = False
+        self.has_stale_entries = False
         resolved = tuple(self._resolve(each, now_s) for each in latest.values())
         self._drop_expired(now_s)
         return resolved
 
-    def leave(self, keys: Iterable[str]) -> tuple[membership.Endpoint, ...]:
+    def mark_leaving(self, keys: Iterable[str]) -> tuple[membership.Endpoint, ...]:
         """Mark incarnations as leaving, whatever the list says.
 
         Return those of them that are known and weren't marked before.
@@ -79,7 +79,7 @@
     def _resolve(self, listed: membership.Endpoint, now_s: float) -> membership.Endpoint:
         held = self._tracked.get(listed.name)
         if held is not None and held.overrides(listed, now_s):
-            self.has_doubts = True
+            self.has_stale_entries = True
             return held.endpoint
         known = held.endpoint if held is not None else None
         endpoint = membership.sticky(known, listed)
--- a/src/croftpulley/core/listed_counts.py
+++ b/src/croftpulley/core/listed_counts.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Load:
+class EndpointLoads:
     """Requests in flight and prompt tokens still to be prefilled, by endpoint.
 
     ``resting_s`` is for how long each endpoint has asked this box to send it nothing. ``unreached``
@@ -26,12 +26,12 @@
     unreached: tuple[str, ...] = ()
 
 
-def in_order(counts: Mapping[str, int], keys: Iterable[str]) -> tuple[int, ...]:
+def encode_counts(counts: Mapping[str, int], keys: Iterable[str]) -> tuple[int, ...]:
     """Encode the counts of ``keys`` in their order; counts of other keys are ignored.
 
     A negative number stands for a run of that many zeros. Trailing zeros are omitted.
 
-    >>> in_order({"f": 2, "h": 1, "gone": 7}, ("e", "f", "g", "g2", "h", "i"))
+    >>> encode_counts({"f": 2, "h": 1, "gone": 7}, ("e", "f", "g", "g2", "h", "i"))
     (-1, 2, -2, 1)
     """
     numbers: list[int] = []
@@ -48,10 +48,10 @@
     return tuple(numbers)
 
 
-def by_key(numbers: Sequence[int], keys: Sequence[str]) -> dict[str, int]:
+def decode_counts(numbers: Sequence[int], keys: Sequence[str]) -> dict[str, int]:
     """Decode the numbers of `encode_counts`. Return the counts other than 0 by key.
 
-    >>> by_key((-1, 2, -2, 1), ("e", "f", "g", "g2", "h", "i"))
+    >>> decode_counts((-1, 2, -2, 1), ("e", "f", "g", "g2", "h", "i"))
     {'f': 2, 'h': 1}
     """
     return {
--- a/src/croftpulley/core/peers.py
+++ b/src/croftpulley/core/peers.py
@@ -15,7 +15,7 @@
 SLOT_COUNT = 256
 """Number of slots that streams are hashed into. An order of boxes is computed once for each slot
 whenever the boxes change, not for each stream."""
-TOLD = 2
+ORIGIN_COPIES = 2
 """How many boxes store the origin of a stream, in addition to the box where it started."""
 QUERY_FANOUT = 4
 """How many boxes are queried for an origin. The answer isn't lost if one of them is new or is the
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class Avoided:
+class RecentFailures:
     """Boxes that failed recently, each for ``cooldown_s`` after its last failure."""
 
     cooldown_s: float
@@ -41,7 +41,7 @@
         }
         self._failed_at_s[name] = now_s
 
-    def holds(self, name: str, now_s: float) -> bool:
+    def has_failed_recently(self, name: str, now_s: float) -> bool:
         """Return whether a box failed recently."""
         return now_s < self._failed_at_s.get(name, float("-inf")) + self.cooldown_s
 
@@ -52,18 +52,18 @@
 
     >>> boxes = [membership.Box(name, "h", "", f"{name}:1") for name in "abc"]
     >>> known = Peers("a", "h")
-    >>> sorted(each.name for each in known.choose("request-1", boxes, 0.0))
+    >>> sorted(each.name for each in known.preferred("request-1", boxes, 0.0))
     ['b', 'c']
     >>> known.failed("b", 0.0)
-    >>> [each.name for each in known.choose("request-1", boxes, 0.1)]
+    >>> [each.name for each in known.preferred("request-1", boxes, 0.1)]
     ['c', 'b']
     """
 
     box: str
     hall: str
-    _avoided: Avoided = attrs.field(factory=lambda: Avoided(PEER_COOLDOWN_S))
+    _avoided: RecentFailures = attrs.field(factory=lambda: RecentFailures(PEER_COOLDOWN_S))
 
-    def choose(
+    def preferred(
         self, request_id: str, reaching: Iterable[membership.Box], now_s: float
     ) -> list[membership.Box]:
         """Return the boxes to try for a request, best first.
@@ -77,9 +77,9 @@
             for each in reaching
             if each.name != self.box and each.peer_address and not each.draining
         }
-        ordered = [others[name] for name in choice.order(request_id, list(others))]
+        ordered = [others[name] for name in choice.rendezvous_order(request_id, list(others))]
         ordered[:2] = sorted(ordered[:2], key=lambda each: each.hall != self.hall)
-        return sorted(ordered, key=lambda each: self._avoided.holds(each.name, now_s))
+        return sorted(ordered, key=lambda each: self._avoided.has_failed_recently(each.name, now_s))
 
     def failed(self, name: str, now_s: float) -> None:
         """Record that a peer failed to take a request, or was lost while it handled one."""
@@ -94,7 +94,7 @@
     by_slot: dict[int, tuple[membership.Box, ...]] = attrs.field(factory=dict)
 
 
-class Keepers:
+class OriginHolders:
     """Determines the boxes that store the origin of a stream, as seen from ``box``.
 
     A stream's id is hashed to a slot, and rendezvous hashing over the boxes gives the holders of
@@ -106,9 +106,9 @@
 
     >>> boxes = tuple(membership.Box(name, "h", "", f"{name}:1") for name in "abcde")
     >>> stream = origins.StreamId("clinic", "r-1")
-    >>> told = [each.name for each in Keepers("a").of(stream, boxes)[:TOLD]]
-    >>> asked = [each.name for each in Keepers("b").of(stream, boxes)]
-    >>> set(told) <= {*asked, "b"}
+    >>> held = [each.name for each in OriginHolders("a").for_stream(stream, boxes)[:ORIGIN_COPIES]]
+    >>> queried = [each.name for each in OriginHolders("b").for_stream(stream, boxes)]
+    >>> set(held) <= {*queried, "b"}
     True
     """
 
@@ -116,7 +116,7 @@
         self._box = box
         self._known = _SlotHolders()
 
-    def of(
+    def for_stream(
         self, stream: origins.StreamId, boxes: tuple[membership.Box, ...]
     ) -> tuple[membership.Box, ...]:
         """Return the boxes to query, best first; the first `ORIGIN_COPIES` store the origin."""
@@ -139,9 +139,9 @@
             for each in boxes
             if each.name != self._box and each.peer_address and not each.draining
         }
-        ordered = [others[name] for name in choice.order(f"streams-{slot}", others)]
+        ordered = [others[name] for name in choice.rendezvous_order(f"streams-{slot}", others)]
         first = ordered[:1]
-        elsewhere = [each for each in ordered if each.hall != first[0].hall][: TOLD - 1]
+        elsewhere = [each for each in ordered if each.hall != first[0].hall][: ORIGIN_COPIES - 1]
         rest = [each for each in ordered[1:] if each not in elsewhere]
         return tuple([*first, *elsewhere, *rest][:QUERY_FANOUT])
 
--- a/src/croftpulley/core/permits.py
+++ b/src/croftpulley/core/permits.py
@@ -18,52 +18,52 @@
 """The share of the latency objective that a request may wait at its endpoint; the rest is for
 running it. An endpoint serves the next request of any box, while a box serves only its own
 queue."""
-MOST_QUEUED = 2.0
+MAX_QUEUE_RATIO = 2.0
 """The most requests that may wait at an endpoint, relative to its slots, however short requests
 are."""
 DEFAULT_QUEUE_RATIO = 0.25
 """The same before any request has ended."""
-FEW = 3.0
+MIN_PERMITS = 3.0
 """Requests that a box may always have while any capacity is left. With more boxes than slots an
 even share is less than one, and callers would wait for each other in a box next to idle slots."""
-FEW_BRITTLE = 1.0
+MIN_PERMITS_BRITTLE = 1.0
 """The same at endpoints that shut down when they have to refuse many requests."""
 STALE_S = 1.0
 """Age from which loads say nothing about the other boxes: four renewals have been lost."""
 
 
-def work_s(hold_s: float, slots: int, total: int) -> float:
+def estimated_service_time_s(hold_s: float, slots: int, total: int) -> float:
     """Return how long endpoints work on a request.
 
     ``hold_s`` is how long a request lasts there including its wait. ``total`` requests are there,
     of which as many as there are slots are worked on.
 
-    >>> work_s(0.2, 24, 48), work_s(0.2, 24, 6)
+    >>> estimated_service_time_s(0.2, 24, 48), estimated_service_time_s(0.2, 24, 6)
     (0.1, 0.2)
     """
     return hold_s * min(1.0, slots / total) if total else hold_s
 
 
-def queued(objective_s: float, service_time_s: float) -> float:
+def queue_ratio(objective_s: float, service_time_s: float) -> float:
     """Return how many requests may wait at an endpoint, relative to its slots.
 
     ``service_time_s`` is how long the endpoint works on a request, or 0 where that isn't known.
 
-    >>> queued(0.4, 1.0), queued(0.4, 0.05), queued(0.4, 0.0)
+    >>> queue_ratio(0.4, 1.0), queue_ratio(0.4, 0.05), queue_ratio(0.4, 0.0)
     (0.1, 2.0, 0.25)
     """
     if not service_time_s:
         return DEFAULT_QUEUE_RATIO
-    return min(MOST_QUEUED, QUEUE_TIME_SHARE * objective_s / service_time_s)
+    return min(MAX_QUEUE_RATIO, QUEUE_TIME_SHARE * objective_s / service_time_s)
 
 
-def room(slots: Iterable[int], waiting_ratio: float) -> float:
+def pool_capacity(slots: Iterable[int], waiting_ratio: float) -> float:
     """Return how many requests endpoints with these slots should have in total.
 
     ``waiting_ratio`` is the result of `queue_ratio`. An endpoint whose slots aren't known (0) makes
     the capacity infinite.
 
-    >>> room([16, 16], 0.25), room([6, 0], 0.25)
+    >>> pool_capacity([16, 16], 0.25), pool_capacity([6, 0], 0.25)
     (40.0, inf)
     """
     known = list(slots)
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Heard:
+class PoolSnapshot:
     """The load of a pool as a box last received it, at ``at_s``.
 
     ``own`` counts the requests of this box, ``total`` those of all ``boxes``. ``capacity`` is that
@@ -80,12 +80,12 @@
 
     own: int
     total: int
-    room: float
+    capacity: float
     boxes: int
     at_s: float
-    few: float = FEW
+    min_permits: float = MIN_PERMITS
 
-    def part(self, now_s: float) -> float:
+    def permit_share(self, now_s: float) -> float:
         """Return how many requests this box may have in the pool.
 
         While capacity is left, each box gets a share of it on top of what it has. Half of it is
@@ -94,31 +94,31 @@
         whole capacity is divided in the same way. With loads that are out of date, the whole
         capacity is divided evenly.
 
-        >>> Heard(own=3, total=30, room=50.0, boxes=10, at_s=0.0).part(0.1)
+        >>> PoolSnapshot(own=3, total=30, capacity=50.0, boxes=10, at_s=0.0).permit_share(0.1)
         5.0
-        >>> Heard(own=9, total=60, room=50.0, boxes=10, at_s=0.0).part(0.1)
+        >>> PoolSnapshot(own=9, total=60, capacity=50.0, boxes=10, at_s=0.0).permit_share(0.1)
         6.25
-        >>> Heard(own=9, total=60, room=50.0, boxes=10, at_s=0.0).part(9.0)
+        >>> PoolSnapshot(own=9, total=60, capacity=50.0, boxes=10, at_s=0.0).permit_share(9.0)
         5.0
         """
         even = 1 / max(1, self.boxes)
         if now_s >= self.at_s + STALE_S:
-            return self.room * even
+            return self.capacity * even
         own = min(self.own, self.total)
         fraction = (even + own / self.total) / 2 if self.total else even
-        left = self.room - self.total
+        left = self.capacity - self.total
         if left <= 0:
-            return self.room * fraction
-        return max(own + left * fraction, min(self.few, own + left))
+            return self.capacity * fraction
+        return max(own + left * fraction, min(self.min_permits, own + left))
 
 
-def whole(share: float, chance: float) -> float:
+def round_permits(share: float, chance: float) -> float:
     """Round a share to a number of requests, at least one.
 
     ``chance``, from 0 to 1, differs between boxes: it makes as many of them round up as needed for
     the total to match the sum of their shares.
 
-    >>> whole(1.6, 0.5), whole(1.6, 0.9), whole(0.1, 0.9)
+    >>> round_permits(1.6, 0.5), round_permits(1.6, 0.9), round_permits(0.1, 0.9)
     (2.0, 1.0, 1.0)
     """
     return max(1.0, float(math.floor(share + 1 - chance))) if math.isfinite(share) else share
--- a/src/croftpulley/core/placement.py
+++ b/src/croftpulley/core/placement.py
@@ -15,7 +15,7 @@
     box: str
 
 
-def grants(
+def plan_grants(
     engines: tuple[str, ...],
     boxes: tuple[str, ...],
     owners: dict[str, str],
@@ -45,10 +45,14 @@
 def _least_loaded(engine: str, counts: dict[str, int]) -> str:
     """Return the box with the fewest engines; the engine's rendezvous order breaks ties."""
     fewest = min(counts.values())
-    return choice.order(engine, [box for box, count in counts.items() if count == fewest])[0]
+    return choice.rendezvous_order(
+        engine, [box for box, count in counts.items() if count == fewest]
+    )[0]
 
 
-def to_give_up(box: str, directory: membership.Directory, draining: bool) -> tuple[str, ...]:
+def engines_to_release(
+    box: str, directory: membership.Directory, draining: bool
+) -> tuple[str, ...]:
     """Return the engines that ``box`` should release: all when draining, else its surplus."""
     held = sorted(each.engine for each in directory.owners if each.box == box)
     if draining:
--- a/src/croftpulley/core/places.py
+++ b/src/croftpulley/core/places.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-Notes = Mapping[str, tuple[str, ...]]
+NotesByEngine = Mapping[str, tuple[str, ...]]
 """The part ids that were sent to each engine, by engine name: the form in which boxes exchange
 notes."""
 
@@ -25,10 +25,10 @@
 """How often a note that is still valid is sent again."""
 MAX_PARTS = 50_000
 """Limits the memory of a router to about 10 MB."""
-LEAST_TOKENS = 300
+MIN_PART_TOKENS = 300
 """Minimum size of a part to look for or to fetch. By the users' data sheets, shorter parts are
 prefilled in less than 10 ms, which isn't worth a transfer from another engine."""
-NOTES_AN_ANSWER = 1000
+MAX_NOTES_PER_RESPONSE = 1000
 """Limits a response to about 12 KB of notes. A box that has just started gets the rest with its
 next renewals, so that notes keep neither its link nor the one box that answers all renewals busy
 while no box may serve yet."""
@@ -40,20 +40,20 @@
 class Note:
     """Records that a prompt with this part was sent to this engine."""
 
-    part: str
+    part_id: str
     engine: str
 
 
 @attrs.define
-class Places:
+class PromptPartIndex:
     """The engines that likely cache each prompt part, as one router knows them.
 
     The least recently noted part is evicted first.
 
-    >>> places = Places()
-    >>> places.note(Note("p", "e"), 0.0), places.note(Note("p", "e"), 1.0)
+    >>> index = PromptPartIndex()
+    >>> index.record(Note("p", "e"), 0.0), index.record(Note("p", "e"), 1.0)
     (True, False)
-    >>> places.holders("p", 1.0), places.holders("p", 100.0)
+    >>> index.holders("p", 1.0), index.holders("p", 100.0)
     (['e'], [])
     """
 
@@ -61,10 +61,10 @@
         factory=collections.OrderedDict
     )
 
-    def note(self, note: Note, now_s: float) -> bool:
+    def record(self, note: Note, now_s: float) -> bool:
         """Record a note. Return whether it should be passed on to other routers."""
-        engines = self._last_seen_s.setdefault(note.part, {})
-        self._last_seen_s.move_to_end(note.part)
+        engines = self._last_seen_s.setdefault(note.part_id, {})
+        self._last_seen_s.move_to_end(note.part_id)
         if len(self._last_seen_s) > MAX_PARTS:
             self._last_seen_s.popitem(last=False)
         is_old = now_s - engines.get(note.engine, float("-inf")) > NOTE_REFRESH_S
@@ -77,7 +77,7 @@
         engines = self._last_seen_s.get(part, {})
         return [engine for engine, seen_s in engines.items() if now_s - seen_s <= NOTE_TTL_S]
 
-    def keep(self, engines: Container[str]) -> None:
+    def retain_engines(self, engines: Container[str]) -> None:
         """Drop all engines other than ``engines``."""
         for part, seen_s in list(self._last_seen_s.items()):
             kept_s = {engine: at_s for engine, at_s in seen_s.items() if engine in engines}
@@ -100,7 +100,7 @@
 
 
 @attrs.define
-class Bulletin:
+class NoteLog:
     """The most recent notes of all routers, numbered in the order of their arrival."""
 
     next_number: int = 0
@@ -108,13 +108,13 @@
         factory=lambda: collections.deque(maxlen=MAX_NOTES)
     )
 
-    def post(self, notes: Iterable[Note]) -> None:
+    def append(self, notes: Iterable[Note]) -> None:
         """Append notes."""
         for note in notes:
             self._notes.append(note)
             self.next_number += 1
 
-    def since(self, number: int, most: int = NOTES_AN_ANSWER) -> Page:
+    def read_from(self, number: int, most: int = MAX_NOTES_PER_RESPONSE) -> Page:
         """Return up to ``most`` notes, oldest first, starting with note ``number``.
 
         If the log doesn't have that number, as with numbers of another leader, start with the
@@ -128,19 +128,19 @@
         return Page(notes, number + len(notes))
 
 
-def by_engine(notes: Iterable[Note]) -> Notes:
+def group_by_engine(notes: Iterable[Note]) -> NotesByEngine:
     """Group notes by engine for sending.
 
-    >>> by_engine([Note("p", "e"), Note("q", "e")])
+    >>> group_by_engine([Note("p", "e"), Note("q", "e")])
     {'e': ('p', 'q')}
     """
     parts: dict[str, list[str]] = {}
     for note in notes:
-        parts.setdefault(note.engine, []).append(note.part)
+        parts.setdefault(note.engine, []).append(note.part_id)
     return {engine: tuple(named) for engine, named in parts.items()}
 
 
-def each_note(notes: Notes) -> Iterator[Note]:
+def iterate_notes(notes: NotesByEngine) -> Iterator[Note]:
     """Yield the notes that `group_by_engine` grouped."""
     for engine, parts in notes.items():
         for part in parts:
--- a/src/croftpulley/core/reach.py
+++ b/src/croftpulley/core/reach.py
@@ -14,10 +14,10 @@
 
 MIN_FAILED_ENDPOINTS = 2
 """Endpoints of a pool that can't be reached, one after another, before the path is probed."""
-MOST_LOOKED_AT = 16
+MAX_PROBED_ENDPOINTS = 16
 """Endpoints that a probe tries at once. With three quarters of a pool of 24 endpoints down, a probe
 of this size finds none that is up once in 10,000 probes; in a pool of any size, once in 100."""
-LOOKED_S = 0.5
+PROBE_VALID_S = 0.5
 """How long a probe that reached an endpoint is valid: an endpoint that fails meanwhile is down."""
 FLAPPING_S = 5.0
 """A path that is lost again within this time after its recovery counts as recovered only after two
@@ -52,7 +52,7 @@
     >>> path = PoolReach()
     >>> path.unreached("a", 3, 0.0), path.unreached("b", 3, 0.1)
     (False, True)
-    >>> path.looked(is_reached=False, now_s=0.2), path.is_lost
+    >>> path.probed(is_reached=False, now_s=0.2), path.is_lost
     (True, True)
     >>> path.connected(0.3), path.is_lost
     (True, False)
@@ -60,7 +60,7 @@
 
     is_lost: bool = False
     """Whether no connection can be made."""
-    is_mute: bool = False
+    is_unresponsive: bool = False
     """Whether connections can be made but get no responses."""
     _silent_since_s: dict[str, float] = attrs.field(factory=dict)
     _answered_at_s: float = float("-inf")
@@ -93,7 +93,7 @@
         if (
             self.is_lost
             or self._probing_since_s is not None
-            or now_s < self._probed_at_s + LOOKED_S
+            or now_s < self._probed_at_s + PROBE_VALID_S
         ):
             return False
         if len(self._unreached_at_s) < _min_suspects(size):
@@ -102,11 +102,11 @@
         return True
 
     @property
-    def is_looked_at(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether a probe is running."""
         return self._probing_since_s is not None
 
-    def looked(self, *, is_reached: bool, now_s: float) -> bool:
+    def probed(self, *, is_reached: bool, now_s: float) -> bool:
         """Record whether a probe reached an endpoint. Return whether the path is now lost."""
         since_s, self._probing_since_s = self._probing_since_s, None
         if is_reached or since_s is None or self._connected_at_s >= since_s:
@@ -154,7 +154,7 @@
         """Return whether a connection to any endpoint succeeded recently."""
         return not self.is_lost and now_s < self._connected_at_s + CONNECTION_VALID_S
 
-    def untold(self, endpoints: Iterable[str], now_s: float) -> list[str]:
+    def unheard(self, endpoints: Iterable[str], now_s: float) -> list[str]:
         """Return ``endpoints`` if none of the pool responded recently, asked or not; else none."""
         return list(endpoints) if self._answered_at_s + UNHEARD_LIMIT_S <= now_s else []
 
@@ -162,16 +162,16 @@
         """Return the endpoints whose attempts failed without a response, or none if too few did."""
         return sorted(self._broken) if len(self._broken) >= _min_suspects(size) else []
 
-    def mute(self) -> None:
+    def mark_unresponsive(self) -> None:
         """Mark the path as unresponsive, because health checks of its endpoints got no response."""
-        self.is_mute = True
+        self.is_unresponsive = True
         self._pending_failures.clear()
 
     def failed(self, endpoint: str, now_s: float) -> None:
         """Record an attempt that failed before or during the response of its endpoint."""
         if endpoint not in self._unreached_at_s:
             self._broken.add(endpoint)
-        if not (self.is_lost or self.is_mute):
+        if not (self.is_lost or self.is_unresponsive):
             self._pending_failures.append(Failure(endpoint, now_s))
 
     def answered(self, endpoint: str, now_s: float) -> list[str]:
@@ -180,7 +180,7 @@
 
         These are the recent failures of other endpoints, with each endpoint as often as it failed.
         """
-        self.is_mute = False
+        self.is_unresponsive = False
         self._answered_at_s = now_s
         self._silent_since_s.clear()
         self._broken.clear()
--- a/src/croftpulley/core/records.py
+++ b/src/croftpulley/core/records.py
@@ -65,7 +65,7 @@
     """
 
     _records: dict[str, Record] = attrs.field(factory=dict)
-    _places: places.Places = attrs.field(factory=places.Places)
+    _places: places.PromptPartIndex = attrs.field(factory=places.PromptPartIndex)
     _new_notes: list[places.Note] = attrs.field(factory=list)
     _listed: frozenset[str] | None = None
 
@@ -85,7 +85,7 @@
             for key, each in self._records.items()
             if key in keys or each.withdrawal.outlives_listing(now_s)
         }
-        self._places.keep(keys)
+        self._places.retain_engines(keys)
         self._new_notes = [note for note in self._new_notes if note.engine in keys]
 
     def may_be_listed(self, key: str) -> bool:
@@ -184,21 +184,21 @@
 
     def note(self, note: places.Note, now_s: float) -> bool:
         """Store where a prompt part is cached; return whether other boxes should learn of it."""
-        return self.may_be_listed(note.engine) and self._places.note(note, now_s)
+        return self.may_be_listed(note.engine) and self._places.record(note, now_s)
 
     def note_own(self, note: places.Note, now_s: float) -> None:
         """Store a note of this box, and queue it for the other boxes if it is new."""
         if self.note(note, now_s):
             self._new_notes.append(note)
 
-    def take_notes(self) -> places.Notes:
+    def take_notes(self) -> places.NotesByEngine:
         """Return and clear the queued notes."""
         taken, self._new_notes = self._new_notes, []
-        return places.by_engine(taken)
+        return places.group_by_engine(taken)
 
-    def requeue_notes(self, notes: places.Notes) -> None:
+    def requeue_notes(self, notes: places.NotesByEngine) -> None:
         """Queue undelivered notes again, without those of unlisted incarnations."""
-        returned = [note for note in places.each_note(notes) if self.may_be_listed(note.engine)]
+        returned = [note for note in places.iterate_notes(notes) if self.may_be_listed(note.engine)]
         self._new_notes = [*returned, *self._new_notes]
 
     def holders(self, part: str, now_s: float) -> list[str]:
--- a/src/croftpulley/core/room.py
+++ b/src/croftpulley/core/room.py
@@ -16,13 +16,13 @@
 _LEAST_URGENT = 9
 
 
-def most_load(slots: int, urgency: int) -> float:
+def max_load(slots: int, urgency: int) -> float:
     """Return how many requests of all boxes an engine may have after one more goes there.
 
     ``slots`` is how many requests the engine runs at once, or 0 where that isn't known: then there
     is no limit. ``urgency`` runs from 0, the most urgent, to 9.
 
-    >>> most_load(64, 0), most_load(64, 9), most_load(0, 9)
+    >>> max_load(64, 0), max_load(64, 9), max_load(0, 9)
     (96.0, 64.0, inf)
     """
     if not slots:
@@ -30,12 +30,12 @@
     return slots * (1 + _MAX_QUEUE_RATIO * (_LEAST_URGENT - urgency) / _LEAST_URGENT)
 
 
-def most_at_all(slots: int) -> float:
+def max_endpoint_load(slots: int) -> float:
     """Return how many requests an endpoint may have where boxes share the capacity of its pool.
 
     Without known slots (0) there is no limit.
 
-    >>> most_at_all(4), most_at_all(0)
+    >>> max_endpoint_load(4), max_endpoint_load(0)
     (12.0, inf)
     """
-    return slots * (1 + permits.MOST_QUEUED) if slots else float("inf")
+    return slots * (1 + permits.MAX_QUEUE_RATIO) if slots else float("inf")
--- a/src/croftpulley/core/selection.py
+++ b/src/croftpulley/core/selection.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Spill:
+class OverloadLimit:
     """The load above which an endpoint is passed over, even if it caches the prompt.
 
     The limit is ``multiple`` times the mean load plus ``slack`` requests.
@@ -53,7 +53,7 @@
     multiple: float = 1.5
     slack: float = 2.0
 
-    def fit(self, candidates: Sequence[Candidate]) -> list[Candidate]:
+    def eligible(self, candidates: Sequence[Candidate]) -> list[Candidate]:
         """Return the candidates, of which there must be some, that may take one more request.
 
         The least busy candidates are always among them.
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Rates:
+class CostRates:
     """Costs of work at an engine, from the users' data sheets, where both engines are much alike.
 
     ``prefill_tokens_per_ms`` is the prefill rate and ``fetch_tokens_per_ms`` the transfer rate from
@@ -73,7 +73,7 @@
     order.
     """
 
-    read_tokens_a_ms: float = 40.0
+    prefill_tokens_per_ms: float = 40.0
     fetch_tokens_per_ms: float = 140.0
     work_weight: float = 2.0
     load_cost_ms: float = 4.0
@@ -92,7 +92,7 @@
     def of(cls, facts: calls.CallFacts) -> Prompt:
         """Return the prompt of a request that has a shared prefix."""
         return cls(
-            key=facts.shared[-1].part,
+            key=facts.shared_prefix[-1].part_id,
             tokens=facts.prompt_tokens,
             shared_tokens=facts.shared_tokens,
         )
@@ -102,29 +102,29 @@
 class PrefillWork:
     """The work of an engine to process a prompt: tokens to fetch and tokens to prefill."""
 
-    fetched_tokens: int
-    read_tokens: int
+    tokens_to_fetch: int
+    tokens_to_prefill: int
 
-    def duration_ms(self, rates: Rates) -> float:
+    def duration_ms(self, rates: CostRates) -> float:
         """Return how long the work takes, not counting the wait for other prompts."""
-        fetching_ms = self.fetched_tokens / rates.fetch_tokens_per_ms
-        return fetching_ms + self.read_tokens / rates.read_tokens_a_ms
+        fetching_ms = self.tokens_to_fetch / rates.fetch_tokens_per_ms
+        return fetching_ms + self.tokens_to_prefill / rates.prefill_tokens_per_ms
 
 
-def reading(prompt: Prompt, candidate: Candidate, most_held_tokens: int) -> PrefillWork:
+def prefill_work(prompt: Prompt, candidate: Candidate, most_held_tokens: int) -> PrefillWork:
     """Return the work of ``candidate`` if some engine caches ``most_held_tokens`` of the prompt.
 
     >>> prompt = Prompt(key="p", tokens=900, shared_tokens=800)
-    >>> reading(prompt, Candidate(name="e", hall="a", load=0, held_tokens=300), 800)
-    PrefillWork(fetched_tokens=500, read_tokens=100)
+    >>> prefill_work(prompt, Candidate(name="e", hall="a", load=0, held_tokens=300), 800)
+    PrefillWork(tokens_to_fetch=500, tokens_to_prefill=100)
     """
     fetched = max(0, most_held_tokens - candidate.held_tokens)
     return PrefillWork(
-        fetched_tokens=fetched, read_tokens=prompt.tokens - candidate.held_tokens - fetched
+        tokens_to_fetch=fetched, tokens_to_prefill=prompt.tokens - candidate.held_tokens - fetched
     )
 
 
-def trusted(candidates: Sequence[Candidate], now_s: float) -> list[Candidate]:
+def without_avoided(candidates: Sequence[Candidate], now_s: float) -> list[Candidate]:
     """Return the candidates that needn't be avoided, or else the one to be avoided least long.
 
     Suspicion alone must never leave a request without an endpoint. The result is empty only if
@@ -136,8 +136,8 @@
     return [min(candidates, key=lambda each: each.avoid_until_s)]
 
 
-def for_prompt(
-    prompt: Prompt, fit: Sequence[Candidate], most_held_tokens: int, rates: Rates
+def choose_for_prompt(
+    prompt: Prompt, fit: Sequence[Candidate], most_held_tokens: int, rates: CostRates
 ) -> Candidate:
     """Choose the least busy engine with the shared prefix, or else the one with the lowest cost.
 
@@ -150,32 +150,32 @@
         return min(holders, key=lambda each: (each.load, each.name))
 
     def cost_ms(rank: int, candidate: Candidate) -> float:
-        wait_ms = candidate.reading_tokens / rates.read_tokens_a_ms
-        own_ms = reading(prompt, candidate, most_held_tokens).duration_ms(rates)
+        wait_ms = candidate.reading_tokens / rates.prefill_tokens_per_ms
+        own_ms = prefill_work(prompt, candidate, most_held_tokens).duration_ms(rates)
         load_and_rank_ms = rates.load_cost_ms * candidate.load + rates.rank_cost_ms * rank
         return wait_ms + rates.work_weight * own_ms + load_and_rank_ms
 
     by_name = {each.name: each for each in fit}
-    ranked = [by_name[name] for name in choice.order(prompt.key, by_name)]
+    ranked = [by_name[name] for name in choice.rendezvous_order(prompt.key, by_name)]
     costs_ms = [cost_ms(rank, each) for rank, each in enumerate(ranked)]
     return ranked[costs_ms.index(min(costs_ms))]
 
 
-def kept_since(age_s: float, hold_s: float) -> float:
+def remaining_load_fraction(age_s: float, hold_s: float) -> float:
     """Return the fraction of a load received ``age_s`` ago that still applies.
 
     It is the expected fraction of the requests that haven't ended, with a mean duration of
     ``hold_s``.
 
-    >>> kept_since(0.0, 0.1), kept_since(0.2, 0.0)
+    >>> remaining_load_fraction(0.0, 0.1), remaining_load_fraction(0.2, 0.0)
     (1.0, 0.0)
-    >>> round(kept_since(0.2, 0.1), 2)
+    >>> round(remaining_load_fraction(0.2, 0.1), 2)
     0.14
     """
     return math.exp(-max(0.0, age_s) / hold_s) if hold_s else 0.0
 
 
-def evenly(key: str, candidates: Sequence[Candidate], kept: float) -> Candidate:
+def choose_evenly(key: str, candidates: Sequence[Candidate], kept: float) -> Candidate:
     """Choose a candidate when the loads of other boxes may be out of date.
 
     When requests end sooner than loads are distributed, an endpoint that looked idle has since
@@ -186,19 +186,19 @@
 
     >>> idle = Candidate(name="idle", hall="a", load=0)
     >>> busy = Candidate(name="busy", hall="a", load=9)
-    >>> {evenly(str(key), [idle, busy], 1.0).name for key in range(9)}
+    >>> {choose_evenly(str(key), [idle, busy], 1.0).name for key in range(9)}
     {'idle'}
-    >>> sorted({evenly(str(key), [idle, busy], 0.1).name for key in range(9)})
+    >>> sorted({choose_evenly(str(key), [idle, busy], 0.1).name for key in range(9)})
     ['busy', 'idle']
     """
     loads = [each.load * kept + each.own_load * (1 - kept) for each in candidates]
     most = min(loads) + 1
     alike = [each.name for each, load in zip(candidates, loads, strict=True) if load < most]
-    first = choice.order(key, alike)[0]
+    first = choice.rendezvous_order(key, alike)[0]
     return next(each for each in candidates if each.name == first)
 
 
-def least_busy(key: str, candidates: Sequence[Candidate], hall: str) -> Candidate:
+def choose_least_busy(key: str, candidates: Sequence[Candidate], hall: str) -> Candidate:
     """Choose the least busy candidate.
 
     Among equals one in ``hall`` is preferred, then the first in the rendezvous order of ``key``.
@@ -207,4 +207,4 @@
     equals = [each for each in candidates if each.load == fewest]
     near = [each for each in equals if each.hall == hall] or equals
     by_name = {each.name: each for each in near}
-    return by_name[choice.order(key, by_name)[0]]
+    return by_name[choice.rendezvous_order(key, by_name)[0]]
--- a/src/croftpulley/core/sessions.py
+++ b/src/croftpulley/core/sessions.py
@@ -42,7 +42,7 @@
     box: membership.Box
     applied: Known
     renewed_at_s: float
-    load: listed_counts.Load
+    load: listed_counts.EndpointLoads
 
 
 class _SumsByName:
@@ -98,7 +98,7 @@
         self,
         box: membership.Box,
         applied: Known,
-        load: listed_counts.Load,
+        load: listed_counts.EndpointLoads,
         now_s: float,
     ) -> bool:
         """Grant or renew a box's lease; ``applied`` is what the box applies.
@@ -108,18 +108,20 @@
         self._unheard.discard(box.name)
         self._leases.renew(box.name, now_s)
         before = self._sessions.get(box.name)
-        self._count(before.load if before else listed_counts.Load(), load)
+        self._count(before.load if before else listed_counts.EndpointLoads(), load)
         self._sessions[box.name] = _Session(box, applied, now_s, load)
         return before is None or before.applied != applied
 
-    def _count(self, before: listed_counts.Load, after: listed_counts.Load) -> None:
+    def _count(
+        self, before: listed_counts.EndpointLoads, after: listed_counts.EndpointLoads
+    ) -> None:
         self._in_flight.replace(before.in_flight, after.in_flight)
         self._reading_tokens.replace(before.reading_tokens, after.reading_tokens)
 
     def _drop(self, name: str) -> None:
         dropped = self._sessions.pop(name, None)
         if dropped is not None:
-            self._count(dropped.load, listed_counts.Load())
+            self._count(dropped.load, listed_counts.EndpointLoads())
 
     def expire(self, now_s: float) -> list[str]:
         """Remove and return the boxes whose lease has ended."""
@@ -155,9 +157,9 @@
         """Whether a registered box has not renewed yet, so that sums lack its part."""
         return bool(self._unheard)
 
-    def loads(self) -> listed_counts.Load:
+    def loads(self) -> listed_counts.EndpointLoads:
         """Return the load per endpoint, summed over all boxes that have renewed."""
-        return listed_counts.Load(self._in_flight.counts(), self._reading_tokens.counts())
+        return listed_counts.EndpointLoads(self._in_flight.counts(), self._reading_tokens.counts())
 
     def unreached(self) -> dict[str, frozenset[str]]:
         """Return, by pool, the boxes that reach none of the pool's endpoints."""
--- a/src/croftpulley/core/tables.py
+++ b/src/croftpulley/core/tables.py
@@ -46,7 +46,7 @@
         return None
 
 
-class Tables:
+class LookupTables:
     """All look-up tables of one configuration."""
 
     def __init__(self, configuration: fleet.FleetConfiguration) -> None:
@@ -66,19 +66,19 @@
         """Pools of resumable streams whose route sends requests to several pools."""
         self.arms = arms.Arms(tuple(fleet.made_arm(arm) for arm in configuration.arms))
 
-    def homes_of_host(self, host: str) -> frozenset[str]:
+    def home_regions_of_host(self, host: str) -> frozenset[str]:
         """Return the home regions of all routes of a host, or an empty set."""
         return self._home_regions.get(host.lower().partition(":")[0], frozenset())
 
     @property
-    def keys_needed(self) -> bool:
+    def requires_key(self) -> bool:
         """Whether routes that aren't open require a key."""
         return bool(self.configuration.workspaces)
 
     @property
-    def serve_without_lease(self) -> bool:
+    def can_serve_without_lease(self) -> bool:
         """Whether a box without a lease may serve any requests: those that require no key."""
-        return not self.keys_needed or any(route.open for route in self.configuration.routes)
+        return not self.requires_key or any(route.open for route in self.configuration.routes)
 
 
 def _home_regions_by_host(routes: tuple[fleet.Route, ...]) -> dict[str, frozenset[str]]:
--- a/src/croftpulley/core/waiting_line.py
+++ b/src/croftpulley/core/waiting_line.py
@@ -125,20 +125,20 @@
 
     outcome: Outcome
     figures: Figures
-    pushed_out: Sequence[Waiter] = ()
+    evicted: Sequence[Waiter] = ()
 
 
-class Line:
+class PermitQueue:
     """The permits of one pool that are in use, and the queue of requests that wait for one.
 
-    >>> line = Line()
+    >>> queue = PermitQueue()
     >>> def ask(urgency, workspace=""):
     ...     waiter = Waiter(workspace=workspace, urgency=urgency, deadline_s=9.0, until_s=1.0)
-    ...     return waiter, line.ask(waiter, 1.0, 0.0).outcome.name
+    ...     return waiter, queue.request_permit(waiter, 1.0, 0.0).outcome.name
     >>> [ask(0)[1], ask(2)[1], ask(1)[1]]
     ['GRANTED', 'WAITS', 'WAITS']
-    >>> line.give_back(0.1)
-    >>> [each.urgency for each in line.grant(1.0, 0.1)]
+    >>> queue.release(0.1)
+    >>> [each.urgency for each in queue.grant(1.0, 0.1)]
     [1]
     """
 
@@ -158,7 +158,7 @@
         """The moving average of how long requests hold their permits; 0 before any has ended."""
         return self._hold_s or 0.0
 
-    def ask(self, waiter: Waiter, permits: float, now_s: float) -> PermitDecision:
+    def request_permit(self, waiter: Waiter, permits: float, now_s: float) -> PermitDecision:
         """Grant a request a permit, add it to the queue, or refuse it."""
         self._arrivals.add(waiter.urgency, now_s)
         if self.in_use < permits and not self._waiters:
@@ -178,7 +178,7 @@
         evicted = self._unable_to_start(permits, now_s)
         for each in evicted:
             self._waiters.remove(each)
-        return PermitDecision(outcome=Outcome.WAITS, figures=figures, pushed_out=evicted)
+        return PermitDecision(outcome=Outcome.WAITS, figures=figures, evicted=evicted)
 
     def grant(self, permits: float, now_s: float) -> list[Waiter]:
         """Grant the free permits to the requests at the head of the queue, and return these."""
@@ -189,7 +189,7 @@
             granted.append(waiter)
         return granted
 
-    def give_back(self, held_s: float) -> None:
+    def release(self, held_s: float) -> None:
         """Release a permit that was held for ``held_s``."""
         self.in_use -= 1
         if self._hold_s is None:
@@ -197,7 +197,7 @@
         else:
             self._hold_s += _HOLD_WEIGHT * (held_s - self._hold_s)
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Remove a request from the queue if it is there."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -105,7 +105,7 @@
             ratio=settings.retry_ratio, extra=settings.retry_extra, window_s=settings.retry_window_s
         )
         self._traffic = traffic.Traffic(
-            allowance, selection.Rates(), self._clock, shares_room=settings.shares_room
+            allowance, selection.CostRates(), self._clock, shares_room=settings.shares_room
         )
         self._permits = permits.Permits(settings.box, self._view, self._traffic, self._clock)
         self._reach = reach.Reach(self._view, self._traffic, self._counters, self._clock)
@@ -287,8 +287,8 @@
             self._view,
             self._traffic,
             pools,
-            selection.Spill(),
-            selection.Rates(),
+            selection.OverloadLimit(),
+            selection.CostRates(),
             steer.Steering(settings.hall, self._counters, self._clock),
             self._permits,
             self._clock,
--- a/src/croftpulley/emulator/choosers.py
+++ b/src/croftpulley/emulator/choosers.py
@@ -40,7 +40,7 @@
         self, facts: calls.CallFacts, candidates: Sequence[selection.Candidate]
     ) -> selection.Candidate:
         """Return the least loaded."""
-        return selection.least_busy(facts.request_id, candidates, "")
+        return selection.choose_least_busy(facts.request_id, candidates, "")
 
 
 class Hashed(Chooser):
@@ -51,7 +51,7 @@
     ) -> selection.Candidate:
         """Return the first in the order of the hash."""
         by_name = {each.name: each for each in candidates}
-        return by_name[choice.order(facts.shared[-1].part, by_name)[0]]
+        return by_name[choice.rendezvous_order(facts.shared_prefix[-1].part_id, by_name)[0]]
 
 
 class BuiltIn(Chooser):
@@ -60,10 +60,12 @@
     def choose(
         self, facts: calls.CallFacts, candidates: Sequence[selection.Candidate]
     ) -> selection.Candidate:
-        """Return the choice of `selection.for_prompt`."""
+        """Return the choice of `selection.choose_for_prompt`."""
         most = max(each.held_tokens for each in candidates)
-        fit = selection.Spill().fit(candidates)
-        return selection.for_prompt(selection.Prompt.of(facts), fit, most, selection.Rates())
+        fit = selection.OverloadLimit().eligible(candidates)
+        return selection.choose_for_prompt(
+            selection.Prompt.of(facts), fit, most, selection.CostRates()
+        )
 
 
 class ByProgram(Chooser):
@@ -86,5 +88,7 @@
             hall="",
         )
         most = max(each.held_tokens for each in candidates)
-        chosen = arms.chosen(self._arm, request, selection.Spill().fit(candidates), most)
+        chosen = arms.chosen(
+            self._arm, request, selection.OverloadLimit().eligible(candidates), most
+        )
         return chosen or candidates[0]
--- a/src/croftpulley/emulator/engines.py
+++ b/src/croftpulley/emulator/engines.py
@@ -80,7 +80,7 @@
         """Return how much of the prompt's beginning is kept."""
         held = 0
         for part in prompt:
-            if part.part not in self._kept:
+            if part.part_id not in self._kept:
                 break
             held += part.tokens
         return held
@@ -88,10 +88,10 @@
     def _keep(self, prompt: tuple[calls.PromptPart, ...]) -> None:
         """Keep all parts; those unused longest give way."""
         for part in prompt:
-            if part.part not in self._kept:
-                self._kept[part.part] = part.tokens
+            if part.part_id not in self._kept:
+                self._kept[part.part_id] = part.tokens
                 self._kept_tokens += part.tokens
-            self._kept.move_to_end(part.part)
+            self._kept.move_to_end(part.part_id)
         while self._kept_tokens > self.size.cache_tokens and len(self._kept) > 1:
             _, tokens = self._kept.popitem(last=False)
             self._kept_tokens -= tokens
--- a/src/croftpulley/emulator/run.py
+++ b/src/croftpulley/emulator/run.py
@@ -33,7 +33,7 @@
     """What one router has added itself since it was last told."""
 
     since: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    known: places.Places = attrs.field(factory=places.Places)
+    known: places.PromptPartIndex = attrs.field(factory=places.PromptPartIndex)
 
 
 @attrs.define
@@ -114,7 +114,7 @@
         for router in self._routers:
             router.since.clear()
             for note in notes:
-                router.known.note(note, self._now_s)
+                router.known.record(note, self._now_s)
         if self._now_s >= SKEW_FROM_S:
             self.figures.sample([each.engine.running for each in self._engines.values()])
 
@@ -123,9 +123,9 @@
         chosen = self._chooser.choose(arrival.facts, self._candidates(router, arrival))
         engine = self._engines[chosen.name].engine
         router.since[chosen.name] += 1
-        for part in arrival.facts.shared:
-            note = places.Note(part.part, chosen.name)
-            if router.known.note(note, self._now_s):
+        for part in arrival.facts.shared_prefix:
+            note = places.Note(part.part_id, chosen.name)
+            if router.known.record(note, self._now_s):
                 self._notes.append(note)
         begun = engine.begin(self._now_s, arrival.facts.prompt, arrival.out_tokens)
         self._at(begun.end_s, engine.end)
@@ -134,9 +134,9 @@
     def _candidates(self, router: _Router, arrival: traffic.Arrival) -> list[selection.Candidate]:
         held: collections.Counter[str] = collections.Counter()
         tokens = 0
-        for part in arrival.facts.shared:
+        for part in arrival.facts.shared_prefix:
             tokens += part.tokens
-            for name in router.known.holders(part.part, self._now_s):
+            for name in router.known.holders(part.part_id, self._now_s):
                 held[name] = tokens
         return [
             selection.Candidate(
--- a/src/croftpulley/fakes/forwarded.py
+++ b/src/croftpulley/fakes/forwarded.py
@@ -286,7 +286,7 @@
 def parts_of(request: stub.StubRequest, names: vocabulary.Vocabulary) -> tuple[str, ...]:
     """Return the parts that a request names of its prompt."""
     prompt = calls.parse_prompt(request.headers.get(names.prompt_parts, ""))
-    return tuple(each.part for each in prompt)
+    return tuple(each.part_id for each in prompt)
 
 
 def content_of(request: stub.StubRequest) -> bytes:
--- a/src/croftpulley/filters/choice.py
+++ b/src/croftpulley/filters/choice.py
@@ -40,7 +40,7 @@
             and each.pool == exchange.service.pool
             and not each.leaving
         }
-        names = choice.order(exchange.request.request_id, usable)
+        names = choice.rendezvous_order(exchange.request.request_id, usable)
         exchange.candidates = [usable[name] for name in names]
         if not exchange.candidates:
             raise errors.CroftpulleyError(codes.ResultCode.WORKER_UNREACHABLE)
--- a/src/croftpulley/forwarding/base.py
+++ b/src/croftpulley/forwarding/base.py
@@ -145,7 +145,9 @@
     def part_features(self) -> tuple[str, ...]:
         """The features that the shared parts of its prompt are, each once."""
         return tuple(
-            dict.fromkeys(fingerprints.part_feature(each.part) for each in self.facts.shared)
+            dict.fromkeys(
+                fingerprints.part_feature(each.part_id) for each in self.facts.shared_prefix
+            )
         )
 
     def end_if_over(self, failure: errors.CroftpulleyError) -> None:
--- a/src/croftpulley/forwarding/failures.py
+++ b/src/croftpulley/forwarding/failures.py
@@ -44,7 +44,7 @@
         level=logging.WARNING,
         request_id=exchange.facts.request_id,
         fingerprint=exchange.fingerprint,
-        parts=exchange.facts.shared_names,
+        parts=exchange.facts.shared_part_ids,
         engine=endpoint.key,
         address=endpoint.address,
         version=endpoint.version,
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -114,7 +114,7 @@
             # The request is here already; it goes on to no other region but its homes.
             reaching = self._regions.at_home(reaching, homes | {self._region})
         now_s = self._clock.monotonic_s()
-        return self._peers.choose(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
+        return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
 
     def _ask(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
         """Return a box's answer, ``None`` where it took nothing and another may be asked.
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -22,7 +22,7 @@
     endpoint: membership.Endpoint
     cache_from: str = ""
     reading_tokens: int = 0
-    departure: cold.Departure | None = None
+    departure: cold.SendRecord | None = None
     """Of a request to a cold endpoint."""
 
 
@@ -35,8 +35,8 @@
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
         pools: service.Service,
-        spill: selection.Spill,
-        rates: selection.Rates,
+        spill: selection.OverloadLimit,
+        rates: selection.CostRates,
         programs: steer.Steering,
         held: permits.Permits,
         clock: clocks.Clock,
@@ -102,8 +102,8 @@
         slots = pool.slots if pool else 0
         if self._counts.shares_room:
             # Who has a permit was let in by rank; what it is for must not be refused again.
-            return room.most_at_all(slots)
-        return room.most_load(slots, headers.urgency(exchange))
+            return room.max_endpoint_load(slots)
+        return room.max_load(slots, headers.urgency(exchange))
 
     def _open(self, survey: service.Survey, passed_over: set[str]) -> list[selection.Candidate]:
         """Return the endpoints that may be sent one more request now."""
@@ -125,7 +125,7 @@
     ) -> Placed:
         survey = self.survey(exchange, state)
         open_now = self._open(survey, passed_over)
-        candidates = selection.trusted(open_now, survey.now_s)
+        candidates = selection.without_avoided(open_now, survey.now_s)
         if not candidates:
             raise refusals.none_open(exchange, survey, passed_over)
         prompt = _prompt(exchange)
@@ -161,10 +161,10 @@
             # The built-in choice needs no cap here; only programs do.
             if exchange.state.tables.arms.is_empty:
                 return built_in
-            fit = self._spill.fit(candidates)
+            fit = self._spill.eligible(candidates)
         else:
-            fit = self._spill.fit(candidates)
-            built_in = selection.for_prompt(prompt, fit, most_held_tokens, self._rates)
+            fit = self._spill.eligible(candidates)
+            built_in = selection.choose_for_prompt(prompt, fit, most_held_tokens, self._rates)
         return self._programs.chosen(exchange, fit, most_held_tokens, built_in)
 
     def _plain_choice(
@@ -173,10 +173,10 @@
         """Choose for a request without a prompt that others share."""
         request_id = exchange.facts.request_id
         if not self._counts.shares_room:
-            return selection.least_busy(request_id, candidates, self._hall)
+            return selection.choose_least_busy(request_id, candidates, self._hall)
         age_s = self._clock.monotonic_s() - self._view.get().loads_at_s
-        kept = selection.kept_since(age_s, self._permits.hold_s(exchange.pool))
-        return selection.evenly(request_id, candidates, kept)
+        kept = selection.remaining_load_fraction(age_s, self._permits.hold_s(exchange.pool))
+        return selection.choose_evenly(request_id, candidates, kept)
 
     def _held_tokens(self, exchange: base.Exchange, members: service.Members) -> dict[str, int]:
         """Return what each listed engine holds of the prompt; one that is leaving counts too."""
@@ -194,14 +194,14 @@
     ) -> Placed:
         """Work out what the engine must read, and from whom it fetches the rest."""
         most = max(held_tokens.values(), default=0)
-        if most - chosen.held_tokens < places.LEAST_TOKENS:
+        if most - chosen.held_tokens < places.MIN_PART_TOKENS:
             most = chosen.held_tokens
-        reading = selection.reading(prompt, chosen, most)
+        reading = selection.prefill_work(prompt, chosen, most)
         holders = sorted(key for key, tokens in held_tokens.items() if tokens == most)
         return Placed(
             endpoint=members.by_key[chosen.name],
-            cache_from=members.by_key[holders[0]].address if reading.fetched_tokens else "",
-            reading_tokens=reading.read_tokens,
+            cache_from=members.by_key[holders[0]].address if reading.tokens_to_fetch else "",
+            reading_tokens=reading.tokens_to_prefill,
         )
 
     def _log(
@@ -217,7 +217,7 @@
             events.Event.ENDPOINT_CHOSEN,
             request_id=exchange.facts.request_id,
             fingerprint=exchange.fingerprint,
-            parts=exchange.facts.shared_names,
+            parts=exchange.facts.shared_part_ids,
             route=exchange.route_name,
             endpoint=chosen.name,
             version=endpoint.version,
@@ -237,6 +237,6 @@
 
 def _prompt(exchange: base.Exchange) -> selection.Prompt | None:
     """Return the prompt of a request whose beginning others share."""
-    if not exchange.facts.shared or not exchange.known_route.sticky:
+    if not exchange.facts.shared_prefix or not exchange.known_route.sticky:
         return None
     return selection.Prompt.of(exchange.facts)
--- a/src/croftpulley/forwarding/rules.py
+++ b/src/croftpulley/forwarding/rules.py
@@ -70,7 +70,7 @@
             if not holds:
                 raise _no_lease(state, detail)
             raise errors.CroftpulleyError(codes.ResultCode.ROUTE_UNKNOWN, detail)
-        if state.tables.keys_needed and not exchange.route.open:
+        if state.tables.requires_key and not exchange.route.open:
             if not holds:
                 raise _no_lease(state)
             exchange.workspace = _workspace(exchange)
--- a/src/croftpulley/forwarding/steer.py
+++ b/src/croftpulley/forwarding/steer.py
@@ -83,7 +83,7 @@
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         return arms.Request(
             # Requests with one beginning are one chat as far as a router can tell.
-            key=facts.shared[-1].part if facts.shared else facts.request_id,
+            key=facts.shared_prefix[-1].part_id if facts.shared_prefix else facts.request_id,
             prompt_tokens=facts.prompt_tokens,
             shared_tokens=facts.shared_tokens,
             priority=workspace.priority if workspace else exchange.known_route.priority,
--- a/src/croftpulley/http/forward_app.py
+++ b/src/croftpulley/http/forward_app.py
@@ -74,7 +74,7 @@
             level=logging.WARNING,
             request_id=exchange.facts.request_id,
             fingerprint=exchange.fingerprint if exchange.route else "",
-            parts=exchange.facts.shared_names,
+            parts=exchange.facts.shared_part_ids,
             workspace=exchange.workspace_name,
             route=exchange.route_name,
             hop_from=exchange.hop.box if exchange.hop else "",
--- a/src/croftpulley/interfaces/callers.py
+++ b/src/croftpulley/interfaces/callers.py
@@ -86,14 +86,14 @@
     names itself, while callers who ask another box learn of those that serve. One that serves some
     requests without a lease names itself alone after `OTHERS_NAMED_S`.
     """
-    if not (state.lease_holds(now_s) or state.tables.serve_without_lease):
+    if not (state.lease_holds(now_s) or state.tables.can_serve_without_lease):
         raise errors.CroftpulleyError(codes.ResultCode.NO_LEASE, "this box is out of touch")
     is_old = now_s - state.lease_until_s > OTHERS_NAMED_S
     known = [box for box in state.boxes if not is_old or box.name == state.box_name]
     named = [box for box in known if not box.draining]
     if not named:
         raise errors.CroftpulleyError(codes.ResultCode.NO_LEASE, "no entry box is in service")
-    return regions.ordered(named, caller, state.tables.homes_of_host(caller.host))
+    return regions.ordered(named, caller, state.tables.home_regions_of_host(caller.host))
 
 
 def readiness_handler(path: str, not_ready: Callable[[], str]) -> wsgi.Handler:
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -52,7 +52,7 @@
     endpoints_version: int
     in_flight: dict[str, int]
     reading_tokens: dict[str, int] = attrs.field(factory=dict)
-    notes: places.Notes = attrs.field(factory=dict)
+    notes: places.NotesByEngine = attrs.field(factory=dict)
     next_note: int = 0
     outcomes: outcomes.Counts = attrs.field(factory=dict)
     suspects_revision: int = 0
@@ -100,7 +100,7 @@
     endpoints: tuple[membership.Endpoint, ...] | None = None
     loads: tuple[int, ...] | None = ()
     reading_tokens: tuple[int, ...] = ()
-    notes: places.Notes = attrs.field(factory=dict)
+    notes: places.NotesByEngine = attrs.field(factory=dict)
     next_note: int = 0
     held_off: tuple[str, ...] = ()
     suspects: suspect_messages.SuspectsUpdate | None = None
--- a/testing/controllers/test_permits.py
+++ b/testing/controllers/test_permits.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self.clock = clocks.SystemClock()
         self.counts = traffic.Traffic(
-            retry_budget.Allowance(), selection.Rates(), self.clock, shares_room=True
+            retry_budget.Allowance(), selection.CostRates(), self.clock, shares_room=True
         )
         self.view = actors.View(router_state.RouterState())
         self.permits = permits.Permits("box", self.view, self.counts, self.clock)
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def counts(clock):
-    return traffic.Traffic(ALLOWANCE, selection.Rates(), clock)
+    return traffic.Traffic(ALLOWANCE, selection.CostRates(), clock)
 
 
 @pytest.fixture
@@ -84,7 +84,7 @@
 def test_a_way_that_comes_and_goes_is_there_once_two_connections_are_made(known, clock):
     lose(known)
     known.connected(WORKERS[0])
-    clock.advance(core.LOOKED_S)
+    clock.advance(core.PROBE_VALID_S)
     lose(known)
     known.connected(WORKERS[0])
     assert known.lost == {"desk"}
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -72,7 +72,7 @@
         self.life += 1
         self.is_up = True
         self.lease = leases.HeldLease(MARGIN_S)
-        self.counts = traffic.Traffic(self.fleet.allowance, selection.Rates(), self.fleet.clock)
+        self.counts = traffic.Traffic(self.fleet.allowance, selection.CostRates(), self.fleet.clock)
 
     def when_awake(self, act):
         """Act in this life: once the box stands still no more, never if it has been killed."""
--- a/testing/controllers/test_traffic.py
+++ b/testing/controllers/test_traffic.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def made():
-    return traffic.Traffic(retry_budget.Allowance(), selection.Rates(), clocks.ManualClock())
+    return traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clocks.ManualClock())
 
 
 def asks(*shared):
@@ -34,7 +34,7 @@
     made.enter("worker-1")
     made.begin_reading(calls.CallFacts(request_id="r"), "worker-1", 0)
     made.leave("worker-1")
-    assert made.load() == listed_counts.Load()
+    assert made.load() == listed_counts.EndpointLoads()
 
 
 def test_notes_that_reached_nobody_go_out_with_the_next_report(made):
@@ -58,7 +58,7 @@
     made.end_reading(before.key, 500)
     made.failed(before.key)
     made.learn_notes({before.key: ("p",)})
-    assert made.load() == listed_counts.Load()
+    assert made.load() == listed_counts.EndpointLoads()
     assert made.take_notes() == {}
     assert made.take_outcomes() == {}
     assert made.held_tokens(asks("p")) == {}
@@ -90,7 +90,7 @@
 ):
     """Most candidates are kept from one request to the next."""
     clock = clocks.ManualClock()
-    rates = selection.Rates(read_tokens_a_ms=0.002)
+    rates = selection.CostRates(prefill_tokens_per_ms=0.002)
     made = traffic.Traffic(retry_budget.Allowance(), rates, clock)
     members = {
         key: membership.Endpoint(key, membership.EndpointKind.ENGINE, "llm", "a:1", "h", key)
@@ -121,7 +121,7 @@
 
 def test_an_endpoint_that_asked_for_rest_is_full_with_less_than_it_had_then():
     clock = clocks.ManualClock()
-    made = traffic.Traffic(retry_budget.Allowance(), selection.Rates(), clock)
+    made = traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clock)
     for _ in range(10):
         made.enter("e")
     # Requests that were under way together are turned away together: they count once.
--- a/testing/core/test_cold.py
+++ b/testing/core/test_cold.py
@@ -19,24 +19,24 @@
     def __init__(self, takes_per_s=TAKES_PER_S):
         self.takes_per_s = takes_per_s
         self.now_s = 100.0
-        self.leader = cold.Allotments()
+        self.leader = cold.QuotaAllocator()
         self.leader.begin(self.now_s - 10.0)
         self.live = BOXES
-        self.limiters = {box: cold.Pace() for box in BOXES}
+        self.limiters = {box: cold.SendLimiter() for box in BOXES}
         self.quotas = {box: (0, 0.0) for box in BOXES}
         self.unsent = []
         self.sent_s = []
 
     def renew(self, box, delay_s=0.0):
         """Renew the quota of a box; the request for it was sent ``delay_s`` earlier."""
-        count = self.leader.a_second("e", self.takes_per_s, box, self.live, self.now_s)
-        self.quotas[box] = (count, self.now_s - delay_s + cold.ALLOTTED_S)
+        count = self.leader.renew_quota("e", self.takes_per_s, box, self.live, self.now_s)
+        self.quotas[box] = (count, self.now_s - delay_s + cold.QUOTA_TTL_S)
 
     def send(self, box, send_delay_s=0.0):
         """Send all that a box may send; each request leaves ``send_delay_s`` after its check."""
         count, until_s = self.quotas[box]
         while self.now_s < until_s:
-            departure = self.limiters[box].take("e", count, self.now_s)
+            departure = self.limiters[box].try_reserve("e", count, self.now_s)
             if departure is None:
                 return
             self.unsent.append((self.now_s + send_delay_s, departure))
@@ -47,16 +47,16 @@
             due = [each for each in self.unsent if each[0] <= self.now_s]
             self.unsent = [each for each in self.unsent if each[0] > self.now_s]
             for _, departure in due:
-                departure.at_s = self.now_s
+                departure.sent_at_s = self.now_s
                 self.sent_s.append(self.now_s)
 
     def restart(self, box):
         """Restart a box, which loses its quota and the record of what it sent."""
-        self.limiters[box] = cold.Pace.started(self.now_s)
+        self.limiters[box] = cold.SendLimiter.after_restart(self.now_s)
         self.quotas[box] = (0, 0.0)
 
     def change_leader(self):
-        self.leader = cold.Allotments()
+        self.leader = cold.QuotaAllocator()
         self.leader.begin(self.now_s)
 
     def max_in_any_second(self):
@@ -116,10 +116,12 @@
 
 
 def test_cold_endpoints_are_open_to_different_boxes():
-    leader = cold.Allotments()
+    leader = cold.QuotaAllocator()
     boxes = tuple(f"box-{number}" for number in range(40))
     open_to = {
-        endpoint: frozenset(box for box in boxes if leader.a_second(endpoint, 4.0, box, boxes, 0.0))
+        endpoint: frozenset(
+            box for box in boxes if leader.renew_quota(endpoint, 4.0, box, boxes, 0.0)
+        )
         for endpoint in ("e", "f", "g")
     }
     assert all(len(each) == 4 for each in open_to.values())
@@ -127,11 +129,11 @@
 
 
 def test_expired_quotas_are_dropped():
-    leader = cold.Allotments()
-    leader.a_second("e", 4.0, "box-1", BOXES, 0.0)
+    leader = cold.QuotaAllocator()
+    leader.renew_quota("e", 4.0, "box-1", BOXES, 0.0)
     for box in BOXES:
-        leader.a_second("e", 4.0, box, BOXES, 0.0)
-    leader.forget(1.0)
+        leader.renew_quota("e", 4.0, box, BOXES, 0.0)
+    leader.drop_unused(1.0)
     assert leader._by_endpoint
-    leader.forget(9.0)
+    leader.drop_unused(9.0)
     assert not leader._by_endpoint
--- a/testing/core/test_even_choice.py
+++ b/testing/core/test_even_choice.py
@@ -61,11 +61,13 @@
 
 
 def evenly(key, candidates, age_s):
-    return selection.evenly(key, candidates, selection.kept_since(age_s, WORK_S))
+    return selection.choose_evenly(
+        key, candidates, selection.remaining_load_fraction(age_s, WORK_S)
+    )
 
 
 def least_busy(key, candidates, age_s):
-    return selection.least_busy(key, candidates, "a")
+    return selection.choose_least_busy(key, candidates, "a")
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -88,8 +90,10 @@
         selection.Candidate(name="idle", hall="a", load=2),
         selection.Candidate(name="busy", hall="a", load=40),
     ]
-    kept = selection.kept_since(0.1, 0.5)
-    assert {selection.evenly(str(key), candidates, kept).name for key in range(50)} == {"idle"}
+    kept = selection.remaining_load_fraction(0.1, 0.5)
+    assert {selection.choose_evenly(str(key), candidates, kept).name for key in range(50)} == {
+        "idle"
+    }
 
 
 def test_own_load_counts_in_full_when_other_loads_are_out_of_date():
@@ -97,4 +101,6 @@
         selection.Candidate(name="own", hall="a", load=2, own_load=2),
         selection.Candidate(name="free", hall="a", load=2),
     ]
-    assert {selection.evenly(str(key), candidates, 0.0).name for key in range(50)} == {"free"}
+    assert {selection.choose_evenly(str(key), candidates, 0.0).name for key in range(50)} == {
+        "free"
+    }
--- a/testing/core/test_in_force.py
+++ b/testing/core/test_in_force.py
@@ -57,7 +57,7 @@
         known = sessions.Known(halls_revision=router.evacuated.revision)
         if report_arrives:
             box = membership.Box(name, "h", "", "")
-            self.leader.renew(box, known, listed_counts.Load(), self.now_s)
+            self.leader.renew(box, known, listed_counts.EndpointLoads(), self.now_s)
         answered = self.evacuated
         self.acknowledge_in_force()
         self.pass_time(took_s)
--- a/testing/core/test_listed.py
+++ b/testing/core/test_listed.py
@@ -25,56 +25,56 @@
 
     def test_the_later_of_two_incarnations_counts_in_any_order(self):
         for order in ((1, 2), (2, 1)):
-            assert names_and_starts(listed.Listed().take([born(at) for at in order], 0.0)) == [
-                ("w", 2)
-            ]
+            assert names_and_starts(
+                listed.IncarnationTracker().update([born(at) for at in order], 0.0)
+            ) == [("w", 2)]
 
     def test_stale_page_does_not_restore_an_older_incarnation(self):
-        tracker = listed.Listed()
-        tracker.take([born(1)], 0.0)
-        tracker.take([born(2)], 1.0)
-        assert names_and_starts(tracker.take([born(1)], 1.0 + PAGE_LAG_S)) == [("w", 2)]
-        assert names_and_starts(tracker.take([born(2)], 2.0 + PAGE_LAG_S)) == [("w", 2)]
+        tracker = listed.IncarnationTracker()
+        tracker.update([born(1)], 0.0)
+        tracker.update([born(2)], 1.0)
+        assert names_and_starts(tracker.update([born(1)], 1.0 + PAGE_LAG_S)) == [("w", 2)]
+        assert names_and_starts(tracker.update([born(2)], 2.0 + PAGE_LAG_S)) == [("w", 2)]
 
     def test_older_incarnation_does_not_replace_a_long_listed_one_at_once(self):
-        tracker = listed.Listed()
+        tracker = listed.IncarnationTracker()
         for now_s in range(100):
-            tracker.take([born(2)], float(now_s))
-        assert names_and_starts(tracker.take([born(1)], 100.0)) == [("w", 2)]
+            tracker.update([born(2)], float(now_s))
+        assert names_and_starts(tracker.update([born(1)], 100.0)) == [("w", 2)]
 
     def test_endpoint_whose_clock_was_set_back_is_accepted_eventually(self):
-        tracker = listed.Listed()
-        tracker.take([born(5_000)], 0.0)
+        tracker = listed.IncarnationTracker()
+        tracker.update([born(5_000)], 0.0)
         seen = [
-            names_and_starts(tracker.take([born(1_000)], float(now_s))) for now_s in range(1, 12)
+            names_and_starts(tracker.update([born(1_000)], float(now_s))) for now_s in range(1, 12)
         ]
         assert seen[0] == [("w", 5_000)]
         assert seen[-1] == [("w", 1_000)]
 
     def test_leaving_applies_to_one_incarnation_only(self):
-        tracker = listed.Listed()
-        tracker.take([born(1, leaving=True)], 0.0)
-        assert tracker.take([born(1)], 1.0)[0].leaving
-        assert not tracker.take([born(2)], 2.0)[0].leaving
+        tracker = listed.IncarnationTracker()
+        tracker.update([born(1, leaving=True)], 0.0)
+        assert tracker.update([born(1)], 1.0)[0].leaving
+        assert not tracker.update([born(2)], 2.0)[0].leaving
 
     def test_incarnation_marked_as_leaving_stays_so_whatever_the_list_says(self):
-        tracker = listed.Listed()
-        tracker.take([born(1), born(1, "v")], 0.0)
-        assert names_and_starts(tracker.leave([born(1).key, "unknown"])) == [("w", 1)]
-        assert tracker.leave([born(1).key]) == ()
-        taken = tracker.take([born(1), born(1, "v")], 1.0)
+        tracker = listed.IncarnationTracker()
+        tracker.update([born(1), born(1, "v")], 0.0)
+        assert names_and_starts(tracker.mark_leaving([born(1).key, "unknown"])) == [("w", 1)]
+        assert tracker.mark_leaving([born(1).key]) == ()
+        taken = tracker.update([born(1), born(1, "v")], 1.0)
         assert [(each.name, each.leaving) for each in taken] == [("w", True), ("v", False)]
-        assert not tracker.take([born(2)], 2.0)[0].leaving
+        assert not tracker.update([born(2)], 2.0)[0].leaving
 
     def test_duplicate_entries_are_merged_and_leaving_if_either_is(self):
-        taken = listed.Listed().take([born(1), born(1, leaving=True)], 0.0)
+        taken = listed.IncarnationTracker().update([born(1), born(1, leaving=True)], 0.0)
         assert [each.leaving for each in taken] == [True]
 
     def test_list_without_start_times_is_accepted_unchanged(self):
-        tracker = listed.Listed()
+        tracker = listed.IncarnationTracker()
         old = attrs.evolve(born(None), address="127.0.0.1:2")
-        assert tracker.take([old], 0.0) == (old,)
-        assert tracker.take([born(None)], 0.1) == (born(None),)
+        assert tracker.update([old], 0.0) == (old,)
+        assert tracker.update([born(None)], 0.1) == (born(None),)
 
     @given(
         st.lists(
@@ -85,12 +85,12 @@
         )
     )
     def test_each_name_is_returned_once_and_does_not_revert_early(self, readings):
-        tracker = listed.Listed()
+        tracker = listed.IncarnationTracker()
         now_s = 0.0
         last: dict[str, tuple[int, float]] = {}
         for pause_s, entries in readings:
             now_s += pause_s
-            taken = tracker.take([born(at, name) for name, at in entries], now_s)
+            taken = tracker.update([born(at, name) for name, at in entries], now_s)
             assert len({each.name for each in taken}) == len(taken)
             assert {each.name for each in taken} == {name for name, _ in entries}
             for each in taken:
@@ -141,7 +141,7 @@
         case "hear":
             known.note(note, now_s)
         case "give back":
-            known.requeue_notes({key: (note.part,)})
+            known.requeue_notes({key: (note.part_id,)})
         case "take":
             known.take_notes()
             known.take_outcomes()
@@ -216,7 +216,7 @@
 
 @given(st.dictionaries(st.sampled_from("abcdefgh"), st.integers(0, 9)), st.permutations("abcdef"))
 def test_encoded_counts_decode_to_the_same_counts(counts, keys):
-    numbers = listed_counts.in_order(counts, keys)
+    numbers = listed_counts.encode_counts(counts, keys)
     expected = {key: count for key, count in counts.items() if count and key in keys}
-    assert listed_counts.by_key(numbers, keys) == expected
+    assert listed_counts.decode_counts(numbers, keys) == expected
     assert len(numbers) <= len(keys)
--- a/testing/core/test_membership.py
+++ b/testing/core/test_membership.py
@@ -52,23 +52,23 @@
 def test_engines_are_balanced_and_owned_ones_stay():
     owners = {"e-0": "a", "e-1": "a"}
     engines = tuple(f"e-{number}" for number in range(6))
-    grants = placement.grants(engines, ("a", "b"), owners, frozenset())
+    grants = placement.plan_grants(engines, ("a", "b"), owners, frozenset())
     assert sorted(grant.engine for grant in grants) == ["e-2", "e-3", "e-4", "e-5"]
     assert sum(grant.box == "b" for grant in grants) == 3
 
 
 def test_an_engine_moves_only_after_its_owners_lease_has_ended():
     owners = {"e-0": "gone"}
-    assert placement.grants(("e-0",), ("a",), owners, frozenset()) == []
-    moved = placement.grants(("e-0",), ("a",), owners, frozenset({"e-0"}))
+    assert placement.plan_grants(("e-0",), ("a",), owners, frozenset()) == []
+    moved = placement.plan_grants(("e-0",), ("a",), owners, frozenset({"e-0"}))
     assert moved == [placement.Grant("e-0", "a")]
 
 
 def test_a_box_gives_up_its_surplus_engines_and_a_draining_box_all():
     owners = tuple(membership.Ownership(f"e-{n}", "a", 1) for n in range(4))
     directory = membership.Directory(boxes=(box("a"), box("b")), owners=owners)
-    assert placement.to_give_up("a", directory, draining=False) == ("e-2", "e-3")
-    assert len(placement.to_give_up("a", directory, draining=True)) == 4
+    assert placement.engines_to_release("a", directory, draining=False) == ("e-2", "e-3")
+    assert len(placement.engines_to_release("a", directory, draining=True)) == 4
 
 
 def test_leaving_is_sticky_until_the_endpoint_restarts():
@@ -81,8 +81,8 @@
     names = [f"e-{number}" for number in range(10)]
     moved = 0
     for number in range(500):
-        before = choice.order(f"chat-{number}", names)
-        after = choice.order(f"chat-{number}", names[1:])
+        before = choice.rendezvous_order(f"chat-{number}", names)
+        after = choice.rendezvous_order(f"chat-{number}", names[1:])
         assert after == [name for name in before if name != "e-0"]
         moved += before[0] == "e-0"
     assert moved < 100
--- a/testing/core/test_origins.py
+++ b/testing/core/test_origins.py
@@ -109,13 +109,17 @@
     names = [f"box-{n}" for n in range(size)]
     announcer = names[number % size]
     asker = names[(number + 1 + changed) % size]
-    keepers = peers.Keepers(announcer).of(stream(number), boxes_in_halls(names))[: peers.TOLD]
+    keepers = peers.OriginHolders(announcer).for_stream(stream(number), boxes_in_halls(names))[
+        : peers.ORIGIN_COPIES
+    ]
     known_to_asker = (names, names[1:], [*names, "new"])[change]
     if asker not in known_to_asker:
         return
     asked = {
         each.name
-        for each in peers.Keepers(asker).of(stream(number), boxes_in_halls(known_to_asker))
+        for each in peers.OriginHolders(asker).for_stream(
+            stream(number), boxes_in_halls(known_to_asker)
+        )
     }
     holders = {announcer, *(each.name for each in keepers)} & set(known_to_asker)
     assert not holders or holders & {*asked, asker}
@@ -124,9 +128,9 @@
 @given(st.integers(0, 500), st.integers(4, 40))
 def test_announcements_survive_the_loss_of_a_hall(number, size):
     boxes = boxes_in_halls([f"box-{n}" for n in range(size)])
-    keepers = peers.Keepers("box-0").of(stream(number), boxes)[: peers.TOLD]
+    keepers = peers.OriginHolders("box-0").for_stream(stream(number), boxes)[: peers.ORIGIN_COPIES]
     others = {each.hall for each in boxes if each.name != "box-0"}
-    assert len({each.hall for each in keepers}) == min(len(others), peers.TOLD)
+    assert len({each.hall for each in keepers}) == min(len(others), peers.ORIGIN_COPIES)
 
 
 @attrs.define
@@ -150,8 +154,8 @@
 
     def announce(self, box, announced):
         self.alive[box].note(announced, 0.0)
-        keepers = peers.Keepers(box).of(announced.stream, boxes_of(self.alive))
-        self.in_transit += [(each.name, announced) for each in keepers[: peers.TOLD]]
+        keepers = peers.OriginHolders(box).for_stream(announced.stream, boxes_of(self.alive))
+        self.in_transit += [(each.name, announced) for each in keepers[: peers.ORIGIN_COPIES]]
 
     def deliver(self, position):
         if not self.in_transit:
@@ -175,7 +179,7 @@
         name = stream(number)
         if box not in self.alive or name not in self.versions_written:
             return
-        asked = peers.Keepers(box).of(name, boxes_of(self.alive))
+        asked = peers.OriginHolders(box).for_stream(name, boxes_of(self.alive))
         for each in (box, *(peer.name for peer in asked)):
             record = self.alive[each].find(name, 0.0)
             if record is not None:
--- a/testing/core/test_places.py
+++ b/testing/core/test_places.py
@@ -10,7 +10,7 @@
 
 def test_all_parts_but_the_last_are_the_shared_prefix():
     facts = calls.CallFacts(request_id="r", prompt=calls.parse_prompt("a:1,b:2,c:3"))
-    assert [part.part for part in facts.shared] == ["a", "b"]
+    assert [part.part_id for part in facts.shared_prefix] == ["a", "b"]
     assert facts.prompt_tokens == 6
 
 
@@ -18,41 +18,41 @@
     """The index of prompt parts, and the log of notes."""
 
     def test_notes_are_read_in_order_and_once(self):
-        log = places.Bulletin(100)
-        log.post([places.Note("p", "a"), places.Note("q", "b")])
-        first = log.since(0).notes
-        log.post([places.Note("r", "c")])
+        log = places.NoteLog(100)
+        log.append([places.Note("p", "a"), places.Note("q", "b")])
+        first = log.read_from(0).notes
+        log.append([places.Note("r", "c")])
         assert first == (places.Note("p", "a"), places.Note("q", "b"))
-        assert log.since(102).notes == (places.Note("r", "c"),)
-        assert log.since(103) == places.Page((), 103)
+        assert log.read_from(102).notes == (places.Note("r", "c"),)
+        assert log.read_from(103) == places.Page((), 103)
 
     def test_number_of_another_leader_gets_all_notes(self):
-        log = places.Bulletin(1 << 33)
-        log.post([places.Note("p", "a")])
-        assert log.since(1 << 32).notes == (places.Note("p", "a"),)
+        log = places.NoteLog(1 << 33)
+        log.append([places.Note("p", "a")])
+        assert log.read_from(1 << 32).notes == (places.Note("p", "a"),)
 
     def test_reader_that_is_behind_gets_the_notes_that_are_kept(self):
-        log = places.Bulletin()
-        log.post(places.Note(f"p{n}", "a") for n in range(places.MAX_NOTES + 5))
-        assert len(log.since(0, places.MAX_NOTES + 5).notes) == places.MAX_NOTES
+        log = places.NoteLog()
+        log.append(places.Note(f"p{n}", "a") for n in range(places.MAX_NOTES + 5))
+        assert len(log.read_from(0, places.MAX_NOTES + 5).notes) == places.MAX_NOTES
 
     def test_new_box_gets_all_notes_page_by_page(self):
         # In the enlarged fleet one response held all notes: 250 KB for each of 69 boxes at once.
-        log = places.Bulletin(1 << 33)
-        posted = [places.Note(f"p{n}", "a") for n in range(2 * places.NOTES_AN_ANSWER + 5)]
-        log.post(posted)
+        log = places.NoteLog(1 << 33)
+        posted = [places.Note(f"p{n}", "a") for n in range(2 * places.MAX_NOTES_PER_RESPONSE + 5)]
+        log.append(posted)
         got: list[places.Note] = []
         number = 0
         while number != log.next_number:
-            page = log.since(number)
-            assert len(page.notes) <= places.NOTES_AN_ANSWER
+            page = log.read_from(number)
+            assert len(page.notes) <= places.MAX_NOTES_PER_RESPONSE
             got += page.notes
             number = page.next_number
         assert got == posted
 
     def test_number_of_parts_is_limited(self, monkeypatch):
         monkeypatch.setattr(places, "MAX_PARTS", 3)
-        known = places.Places()
+        known = places.PromptPartIndex()
         for number in range(10):
-            known.note(places.Note(f"p{number}", "a"), float(number))
+            known.record(places.Note(f"p{number}", "a"), float(number))
         assert [known.holders(f"p{n}", 10.0) for n in (6, 7, 9)] == [[], ["a"], ["a"]]
--- a/testing/core/test_selection.py
+++ b/testing/core/test_selection.py
@@ -27,8 +27,8 @@
     @staticmethod
     def choose(candidates, most_held=0, tokens=1000):
         prompt = selection.Prompt(key="k", tokens=tokens, shared_tokens=tokens - 100)
-        fit = selection.Spill().fit(candidates)
-        return selection.for_prompt(prompt, fit, most_held, selection.Rates())
+        fit = selection.OverloadLimit().eligible(candidates)
+        return selection.choose_for_prompt(prompt, fit, most_held, selection.CostRates())
 
     @given(st.lists(st.integers(0, 50), min_size=2, max_size=12), st.integers(0, 11))
     def test_chosen_engine_is_within_the_load_limit_or_least_loaded(self, loads, holder):
@@ -37,7 +37,7 @@
             for n, each in enumerate(self.candidates(loads))
         ]
         chosen = self.choose(candidates, 900)
-        spill = selection.Spill()
+        spill = selection.OverloadLimit()
         most = spill.multiple * sum(loads) / len(loads) + spill.slack
         assert chosen.load + 1 <= most or chosen.load == min(loads)
 
@@ -77,9 +77,9 @@
         assert len(chosen) == 3
 
     def test_suspicion_alone_leaves_no_request_without_an_endpoint(self):
-        assert selection.trusted(self.candidates([1, 2], avoid=(0, 1)), 0.0)
-        (trusted,) = selection.trusted(self.candidates([1, 2], avoid=(0,)), 0.0)
+        assert selection.without_avoided(self.candidates([1, 2], avoid=(0, 1)), 0.0)
+        (trusted,) = selection.without_avoided(self.candidates([1, 2], avoid=(0,)), 0.0)
         assert trusted.name == "e-1"
 
     def test_among_the_least_busy_one_in_the_same_hall_is_chosen(self):
-        assert selection.least_busy("k", self.candidates([1, 1, 1, 1]), "a").hall == "a"
+        assert selection.choose_least_busy("k", self.candidates([1, 1, 1, 1]), "a").hall == "a"
--- a/testing/core/test_waiting_line.py
+++ b/testing/core/test_waiting_line.py
@@ -34,7 +34,7 @@
 
 def simulate(rates, seconds_s=20.0, seed=1):
     """Simulate requests at rates per second by workspace and urgency; each takes about HOLD_S."""
-    line = waiting_line.Line()
+    line = waiting_line.PermitQueue()
     results = Results()
     events = []
     for number, ((workspace, urgency), rate) in enumerate(sorted(rates.items())):
@@ -58,11 +58,11 @@
     while events:
         at_s, _, what, facts = heapq.heappop(events)
         for each in [each for each in joined_at_s if each.until_s <= at_s]:
-            line.leave(each)
+            line.remove(each)
             del joined_at_s[each]
             results.waited_in_vain += 1
         if what == "ends":
-            line.give_back(facts)
+            line.release(facts)
         else:
             workspace, urgency, _ = facts
             patience_s = waiting_line.patience_s(OBJECTIVE_S, TIME_S)
@@ -74,13 +74,13 @@
             )
             results.asked[workspace] += 1
             results.asked[urgency] += 1
-            asked = line.ask(waiter, PERMITS, at_s)
+            asked = line.request_permit(waiter, PERMITS, at_s)
             joined_at_s[waiter] = at_s
             if asked.outcome is waiting_line.Outcome.GRANTED:
                 begin(waiter, at_s)
             elif asked.outcome is waiting_line.Outcome.REFUSED:
                 del joined_at_s[waiter]
-            for each in asked.pushed_out:
+            for each in asked.evicted:
                 del joined_at_s[each]
                 results.waited_in_vain += 1
         for each in line.grant(PERMITS, at_s):
@@ -139,15 +139,15 @@
 
 def full_queue(hold_s):
     """Return a queue whose only permit is in use, with mean hold time ``hold_s``."""
-    line = waiting_line.Line()
-    line.ask(waiter(), 1.0, 0.0)
-    line.give_back(hold_s)
-    line.ask(waiter(), 1.0, 0.0)
+    line = waiting_line.PermitQueue()
+    line.request_permit(waiter(), 1.0, 0.0)
+    line.release(hold_s)
+    line.request_permit(waiter(), 1.0, 0.0)
     return line
 
 
 def test_request_that_cannot_start_in_time_is_refused_at_once():
-    asked = full_queue(hold_s=2.0).ask(waiter(until_s=1.0), 1.0, 0.0)
+    asked = full_queue(hold_s=2.0).request_permit(waiter(until_s=1.0), 1.0, 0.0)
     assert asked.outcome is waiting_line.Outcome.REFUSED
     assert asked.figures.starts_in_s == 2.0
 
@@ -155,8 +155,8 @@
 def test_waiting_request_is_evicted_when_it_can_no_longer_start_in_time():
     line = full_queue(hold_s=0.5)
     last = waiter(urgency=5)
-    assert line.ask(last, 1.0, 0.0).outcome is waiting_line.Outcome.WAITS
-    assert line.ask(waiter(urgency=0), 1.0, 0.0).pushed_out == [last]
+    assert line.request_permit(last, 1.0, 0.0).outcome is waiting_line.Outcome.WAITS
+    assert line.request_permit(waiter(urgency=0), 1.0, 0.0).evicted == [last]
     assert len(line) == 1
 
 
@@ -164,17 +164,17 @@
     line = full_queue(hold_s=0.1)
     late, soon = waiter(deadline_s=9.0), waiter(deadline_s=5.0)
     for each in (late, soon):
-        line.ask(attrs.evolve(each), 1.0, 0.0)
-    line.give_back(0.1)
+        line.request_permit(attrs.evolve(each), 1.0, 0.0)
+    line.release(0.1)
     assert [each.deadline_s for each in line.grant(1.0, 0.1)] == [5.0]
 
 
 def test_removed_request_gets_no_permit():
     line = full_queue(hold_s=0.1)
     gone = waiter()
-    line.ask(gone, 1.0, 0.0)
-    line.leave(gone)
-    line.give_back(0.1)
+    line.request_permit(gone, 1.0, 0.0)
+    line.remove(gone)
+    line.release(0.1)
     assert line.grant(1.0, 0.1) == []
 
 
--- a/testing/forwarding/test_cold_departures.py
+++ b/testing/forwarding/test_cold_departures.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def counts(clock):
-    made = traffic.Traffic(retry_budget.Allowance(), selection.Rates(), clock)
+    made = traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clock)
     clock.advance(2.0)
     return made
 
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def counts(clock):
-    made = traffic.Traffic(retry_budget.Allowance(), selection.Rates(), clock)
+    made = traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clock)
     clock.advance(2.0)
     return made
 
@@ -42,7 +42,7 @@
 def view():
     pools = (fleet.Pool(name="desk", cold_per_s=COLD_PER_S),)
     configuration = fleet.FleetConfiguration(version=1, pools=pools, routes=(ROUTE,))
-    tables = core_tables.Tables(configuration)
+    tables = core_tables.LookupTables(configuration)
     return actors.View(router_state.RouterState(tables=tables, endpoints=(ENDPOINT,)))
 
 
@@ -112,7 +112,7 @@
 def test_what_was_counted_for_a_cold_endpoint_ends_with_its_allotment(leave, view, counts, clock):
     change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
-    clock.advance(cold.ALLOTTED_S)
+    clock.advance(cold.QUOTA_TTL_S)
     assert bar_of(leave, placed) is service.Bar.COLD
 
 
--- a/testing/interfaces/test_callers.py
+++ b/testing/interfaces/test_callers.py
@@ -20,7 +20,7 @@
 def state(*, routes=(), workspaces=KEYED):
     configuration = fleet.FleetConfiguration(version=1, routes=routes, workspaces=workspaces)
     return router_state.RouterState(
-        lease_until_s=10.0, tables=tables.Tables(configuration), boxes=(FAR, LEAVING, NEAR)
+        lease_until_s=10.0, tables=tables.LookupTables(configuration), boxes=(FAR, LEAVING, NEAR)
     )
 
 
--- a/testing/soak/room.py
+++ b/testing/soak/room.py
@@ -38,8 +38,8 @@
 
     def broken(self) -> list[str]:
         """Return the pools that had more than all routers may have there."""
-        most = fleet.ENDPOINTS * SLOTS * (1 + permits.MOST_QUEUED)
-        most += fleet.ROUTERS * permits.FEW
+        most = fleet.ENDPOINTS * SLOTS * (1 + permits.MAX_QUEUE_RATIO)
+        most += fleet.ROUTERS * permits.MIN_PERMITS
         return [
             f"{pool} ran {count} requests at once, {most:.0f} are allowed"
             for pool, count in self.most.items()
--- a/testing/test_surge.py
+++ b/testing/test_surge.py
@@ -19,7 +19,7 @@
     wanted = []
     for number in range(1000):
         key = choice.chat_key("clinic", "triage", f"chat-{number}", [])
-        if choice.order(key, names)[0] == engine.settings.name:
+        if choice.rendezvous_order(key, names)[0] == engine.settings.name:
             wanted.append(f"chat-{number}")
     return wanted[:count]
 
