--- a/src/croftpulley/bench/agreement.py
+++ b/src/croftpulley/bench/agreement.py
@@ -53,7 +53,7 @@
     """Applies what is proposed at once, as if it were durable everywhere."""
 
     def __init__(self, routes: int) -> None:
-        self._state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self._state.submissions.submit(submissions.Submission("bench", 1, _document(routes)))
 
     def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
@@ -61,7 +61,7 @@
         result.set(self._state.apply(command))
         return result
 
-    def read(self) -> agreed.AgreedState:
+    def read(self) -> agreed.ReplicatedState:
         return self._state
 
 
@@ -158,8 +158,8 @@
 def fetch(routes: int) -> list[table.Row]:
     """Measure how one router fetches a configuration from a control box that has packed it."""
     served = configuration_parts.ConfigurationParts(_Applied(routes))
-    gathering = parts.Gathering()
-    gathering.aim(1)
+    gathering = parts.ConfigurationDownload()
+    gathering.set_target(1)
     exchanged_bytes: list[int] = []
     # Packing and what the codec prepares once are not counted.
     first = served.answer(parts.ConfigurationRequest(version=1, offset=0))
@@ -173,7 +173,7 @@
         body = json_codec.encode(served.answer(decoded))
         spent_s += time.process_time() - began_s
         exchanged_bytes.append(len(asked) + len(body))
-        gathering.take(json_codec.decode(body, parts.ConfigurationPart))
+        gathering.add_part(json_codec.decode(body, parts.ConfigurationPart))
     key = f"fetch_{routes}_routes"
     return [
         table.Row(f"{key}_parts", len(exchanged_bytes)),
@@ -199,7 +199,7 @@
         store.close()
         began_s = time.perf_counter()
         stored = store.load(messages.Stored())
-        state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         for entry in stored.entries:
             state.apply(commands.decode(entry.payload.encode()))
         spent_s = time.perf_counter() - began_s
--- a/src/croftpulley/bench/origins.py
+++ b/src/croftpulley/bench/origins.py
@@ -18,9 +18,9 @@
 _ORIGIN = origins.Origin("pool-0001", "v1.12")
 
 
-def _told(number: int) -> origins.Told:
+def _told(number: int) -> origins.OriginAnnouncement:
     stream = origins.StreamId("workspace-0001", f"{number:016x}")
-    return origins.Told(stream, _ORIGIN, _KEPT_S)
+    return origins.OriginAnnouncement(stream, _ORIGIN, _KEPT_S)
 
 
 def measure() -> list[table.Row]:
@@ -30,14 +30,14 @@
 
 def _memory() -> list[table.Row]:
     streams = [_told(number) for number in range(STREAMS)]
-    kept = origins.Origins()
+    kept = origins.OriginTable()
     tracemalloc.start()
     for each in streams:
-        kept.note(each, 0.0)
+        kept.remember(each, 0.0)
     record_bytes = tracemalloc.get_traced_memory()[0] / STREAMS
     tracemalloc.stop()
-    timed = origins.Origins()
-    note_us = _each_us(STREAMS, lambda n: timed.note(streams[n], 0.0))
+    timed = origins.OriginTable()
+    note_us = _each_us(STREAMS, lambda n: timed.remember(streams[n], 0.0))
     find_us = _each_us(STREAMS, lambda n: timed.find(streams[n].stream, 1.0))
     # Beside the record the stream's id and its strings are kept, which were made before.
     return [
--- a/src/croftpulley/controllers/agreement.py
+++ b/src/croftpulley/controllers/agreement.py
@@ -34,7 +34,7 @@
         """
 
     @abc.abstractmethod
-    def read(self) -> agreed.AgreedState:
+    def read(self) -> agreed.ReplicatedState:
         """Return the applied state.
 
         Callers must not modify it; it may change while they read it.
@@ -55,7 +55,7 @@
 class _LogController(actors.Controller):
     """Collects pending proposals and writes them with one sync (group commit)."""
 
-    def __init__(self, log: record_log.RecordLog, state: agreed.AgreedState) -> None:
+    def __init__(self, log: record_log.RecordLog, state: agreed.ReplicatedState) -> None:
         super().__init__()
         self._log = log
         self._state = state
@@ -101,7 +101,7 @@
     ) -> None:
         data_folder.mkdir(parents=True, exist_ok=True)
         log, replay = record_log.open_log(data_folder / LOG_FILE, open_file)
-        self._state = agreed.AgreedState()
+        self._state = agreed.ReplicatedState()
         for record in replay.payloads:
             self._state.apply(commands.decode(record))
         self._log_replay(replay)
@@ -113,7 +113,7 @@
         self._controller.tell(_Propose(command, result))
         return result
 
-    def read(self) -> agreed.AgreedState:
+    def read(self) -> agreed.ReplicatedState:
         """Return the applied state."""
         return self._state
 
--- a/src/croftpulley/controllers/configuration_fetch.py
+++ b/src/croftpulley/controllers/configuration_fetch.py
@@ -37,7 +37,7 @@
         self._links = control_links
         self._clock = clock
         self._rng = rng
-        self._assembler = parts.Gathering()
+        self._assembler = parts.ConfigurationDownload()
         self._addresses: tuple[str, ...] = ()
         self._leader_address = ""
         self._sources: list[str] = []
@@ -49,7 +49,7 @@
         """Set the version to download; ignored unless it is newer than the current one."""
         if version > self._assembler.version:
             self._started_s = self._clock.monotonic_s()
-        self._assembler.aim(version)
+        self._assembler.set_target(version)
 
     @property
     def is_incomplete(self) -> bool:
@@ -81,7 +81,7 @@
             return None
         address = self._sources[0]
         try:
-            packed = self._assembler.take(self._request_part(address, request))
+            packed = self._assembler.add_part(self._request_part(address, request))
         except errors.CroftpulleyError as failure:
             self._on_failure(address, request, failure)
             self._sources.pop(0)
@@ -102,7 +102,7 @@
         return None
 
     def _order_sources(self) -> None:
-        ordered = parts.sources(self._addresses, self._leader_address, self._rng)
+        ordered = parts.fetch_order(self._addresses, self._leader_address, self._rng)
         self._sources = list(ordered)
 
     def _request_part(
--- a/src/croftpulley/controllers/configuration_parts.py
+++ b/src/croftpulley/controllers/configuration_parts.py
@@ -18,14 +18,16 @@
     def __init__(self, log: agreement.Agreement) -> None:
         self._command_log = log
         self._pack_lock = threading.Lock()
-        self._packed: parts.Packed | None = None
+        self._packed: parts.PackedConfiguration | None = None
 
     def answer(self, request: parts.ConfigurationRequest) -> parts.ConfigurationPart:
         """Return the requested part; raises `errors.CroftpulleyError` (BAD_REQUEST)."""
-        return self._pack(self._command_log.read().submissions.held).part(request)
+        return self._pack(self._command_log.read().submissions.held).part_for(request)
 
-    def _pack(self, held: submissions.Held) -> parts.Packed:
+    def _pack(self, held: submissions.VersionedDocument) -> parts.PackedConfiguration:
         with self._pack_lock:
             if self._packed is None or self._packed.version != held.version:
-                self._packed = parts.Packed.of(held.version, packing.pack(held.document_json))
+                self._packed = parts.PackedConfiguration.from_text(
+                    held.version, packing.pack(held.document_json)
+                )
             return self._packed
--- a/src/croftpulley/controllers/control_plane.py
+++ b/src/croftpulley/controllers/control_plane.py
@@ -88,7 +88,7 @@
         version = self._command_log.read().submissions.held.version
         if number > version:
             version = self._commit(number, document_json, deadline_s)
-        self._wait_in_force(box_sessions.Known(configuration_version=version), deadline_s)
+        self._wait_in_force(box_sessions.AppliedVersions(configuration_version=version), deadline_s)
         self._emit(events.Event.CONFIGURATION_IN_FORCE, number, configuration_version=version)
         return version
 
@@ -102,7 +102,7 @@
         self._emit(events.Event.CONFIGURATION_COMMITTED, number, configuration_version=version)
         return version
 
-    def evacuate(self, hall: str) -> halls.Evacuated:
+    def evacuate(self, hall: str) -> halls.EvacuatedHalls:
         """Commit that a hall's endpoints get no requests; return once no box sends any there.
 
         Idempotent: a repeated call returns the same result. Raises HALL_UNKNOWN, `NotLeaderError`,
@@ -110,13 +110,13 @@
         """
         return self._commit_hall_command(agreed.EvacuateHall(hall))
 
-    def return_hall(self, hall: str) -> halls.Evacuated:
+    def return_hall(self, hall: str) -> halls.EvacuatedHalls:
         """Commit that a hall's endpoints get requests again; raises as `evacuate` does."""
         return self._commit_hall_command(agreed.ReturnHall(hall))
 
     def _commit_hall_command(
         self, command: agreed.EvacuateHall | agreed.ReturnHall
-    ) -> halls.Evacuated:
+    ) -> halls.EvacuatedHalls:
         started_s = self._clock.monotonic_s()
         deadline_s = started_s + self._acknowledge_s
         self._wait_for_authority()
@@ -125,9 +125,11 @@
         # Append it even if it changes nothing in the state applied here: only the order of the
         # commands in the log decides the outcome.
         evacuated = self._get_result(self._command_log.propose(command), deadline_s)
-        if not isinstance(evacuated, halls.Evacuated):
+        if not isinstance(evacuated, halls.EvacuatedHalls):
             raise TypeError(f"unexpected result of a hall command: {evacuated!r}")
-        self._wait_in_force(box_sessions.Known(halls_revision=evacuated.revision), deadline_s)
+        self._wait_in_force(
+            box_sessions.AppliedVersions(halls_revision=evacuated.revision), deadline_s
+        )
         events.emit(
             _LOG,
             events.Event.HALLS_IN_FORCE,
@@ -144,12 +146,15 @@
         """Raise HALL_UNKNOWN unless the hall may be evacuated."""
         is_known = hall in self._hall_names if self._hall_names else _is_valid_hall_name(hall)
         if not is_known:
-            known = ", ".join(sorted(self._hall_names)) or f"1 to {halls.LONGEST_NAME} characters"
+            known = (
+                ", ".join(sorted(self._hall_names))
+                or f"1 to {halls.MAX_HALL_NAME_LENGTH} characters"
+            )
             raise errors.CroftpulleyError(
                 codes.ResultCode.HALL_UNKNOWN, f"got hall {hall!r:.100}, expected {known}"
             )
 
-    def halls(self) -> halls.Evacuated:
+    def halls(self) -> halls.EvacuatedHalls:
         """Return the evacuated halls; raises `NotLeaderError`."""
         return self._read_with_authority(lambda: self._command_log.read().evacuated)
 
@@ -158,7 +163,7 @@
         """The halls that may be evacuated; empty if the settings list none."""
         return self._hall_names
 
-    def _wait_in_force(self, target: box_sessions.Known, deadline_s: float) -> None:
+    def _wait_in_force(self, target: box_sessions.AppliedVersions, deadline_s: float) -> None:
         """Wait until ``target`` is in force; raises NOT_LEADER, or NOT_IN_FORCE if too late."""
         done: pykka.Future[bool] = pykka.ThreadingFuture()
         self._sessions.tell(in_force.WhenInForce(target, done))
@@ -174,7 +179,7 @@
                 codes.ResultCode.NOT_IN_FORCE, run_state=codes.RunState.UNKNOWN
             ) from failure
 
-    def read(self) -> submissions.Held:
+    def read(self) -> submissions.VersionedDocument:
         """Return the newest committed configuration; raises `NotLeaderError`."""
         return self._read_with_authority(lambda: self._command_log.read().submissions.held)
 
@@ -256,4 +261,4 @@
 
 def _is_valid_hall_name(hall: str) -> bool:
     """Return whether a text is a valid hall name, for settings that list no halls."""
-    return 0 < len(hall) <= halls.LONGEST_NAME and hall.isprintable() and "/" not in hall
+    return 0 < len(hall) <= halls.MAX_HALL_NAME_LENGTH and hall.isprintable() and "/" not in hall
--- a/src/croftpulley/controllers/directory.py
+++ b/src/croftpulley/controllers/directory.py
@@ -70,7 +70,7 @@
         # Versions are not stored; starting from the wall clock keeps them above earlier runs.
         self._directory = membership.Directory(version=int(clock.wall_s() * 1000) << 16)
         for box in log.read().boxes:
-            self._leases.assume(box, clock.monotonic_s())
+            self._leases.assume_granted(box, clock.monotonic_s())
 
     def handle(self, message: object) -> object:
         """Handle a renewal, a tick or a query; raises `TypeError` for any other message."""
@@ -114,7 +114,7 @@
             draining=renewal.box.draining,
             configuration_version=renewal.configuration_version,
             engines_version=version,
-            engines=membership.keep_leaving(self._engines, engines),
+            engines=membership.carry_over_leaving_flags(self._engines, engines),
             released=frozenset(renewal.released),
         )
         self._reports[renewal.box.name] = report
@@ -137,7 +137,7 @@
         )
 
     def _tick(self) -> None:
-        for box in self._leases.expire(self._clock.monotonic_s()):
+        for box in self._leases.remove_expired(self._clock.monotonic_s()):
             events.emit(_LOG, events.Event.BOX_EXPIRED, expired_box=box)
             self._reports.pop(box, None)
             self._totals.replace(box, ())
@@ -185,18 +185,18 @@
                     merged[engine.name] = engine
         return merged
 
-    def _reassignable_engines(self, state: agreed.AgreedState) -> frozenset[str]:
+    def _reassignable_engines(self, state: agreed.ReplicatedState) -> frozenset[str]:
         """Return the engines that their owner released or whose owner has no valid lease."""
         now_s = self._clock.monotonic_s()
         reassignable = set()
         for engine, owner in state.owners.items():
             report = self._reports.get(owner.box)
             given_up = report is not None and owner in report.released
-            if given_up or not self._leases.live(owner.box, now_s):
+            if given_up or not self._leases.may_be_valid(owner.box, now_s):
                 reassignable.add(engine)
         return frozenset(reassignable)
 
-    def _publish(self, state: agreed.AgreedState) -> None:
+    def _publish(self, state: agreed.ReplicatedState) -> None:
         boxes = [box for name, box in sorted(state.boxes.items()) if name in self._reports]
         owners = [
             owner for engine, owner in sorted(state.owners.items()) if engine in self._engines
@@ -219,7 +219,7 @@
         return tuple(
             name
             for name in sorted(self._command_log.read().boxes)
-            if self._leases.live(name, now_s)
+            if self._leases.may_be_valid(name, now_s)
             and (name not in self._reports or self._reports[name].configuration_version < version)
         )
 
--- a/src/croftpulley/controllers/fleet_state.py
+++ b/src/croftpulley/controllers/fleet_state.py
@@ -71,8 +71,8 @@
             return
         self._renewal_fails = False
         self._acknowledged_engines = answer.engines_version
-        held = self._lease.holds(self._clock.monotonic_s())
-        self._lease.renewed(sent_at_s, answer.lease_s)
+        held = self._lease.is_valid(self._clock.monotonic_s())
+        self._lease.record_renewal(sent_at_s, answer.lease_s)
         if not held:
             events.emit(_LOG, events.Event.LEASE_GAINED, lease_s=answer.lease_s)
         self._take(answer, renewal)
@@ -118,7 +118,7 @@
                 _LOG, events.Event.RENEW_FAILED, level=logging.WARNING, problem=str(failure)
             )
         self._renewal_fails = True
-        if self._lease.until_s > 0 and not self._lease.holds(self._clock.monotonic_s()):
+        if self._lease.until_s > 0 and not self._lease.is_valid(self._clock.monotonic_s()):
             events.emit(_LOG, events.Event.LEASE_LOST, level=logging.ERROR)
             self._lease.until_s = float("-inf")
 
--- a/src/croftpulley/controllers/in_force.py
+++ b/src/croftpulley/controllers/in_force.py
@@ -15,7 +15,7 @@
 class WhenInForce:
     """Requests that ``done`` is set once ``target`` is in force on every box with a lease."""
 
-    target: sessions.Known
+    target: sessions.AppliedVersions
     done: pykka.Future[bool]
 
 
@@ -29,7 +29,7 @@
         """Add a pending request."""
         self._waiting.append(message)
 
-    def settle(self, is_in_force: Callable[[sessions.Known], bool]) -> None:
+    def settle(self, is_in_force: Callable[[sessions.AppliedVersions], bool]) -> None:
         """Set the futures of the requests whose target is in force now."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -222,7 +222,7 @@
         report = box_messages.BoxReport(
             box=self._box,
             configuration_version=known.configuration.version,
-            holds_lease=self._lease.holds(self._clock.monotonic_s()),
+            holds_lease=self._lease.is_valid(self._clock.monotonic_s()),
             boxes_version=known.boxes_version,
             endpoints_version=known.endpoints_version,
             in_flight=own_loads.in_flight,
@@ -261,13 +261,13 @@
         self._take(answer, sent_at_s, own_loads)
 
     def _take_lease(self, answer: box_messages.BoxReportAnswer, sent_at_s: float) -> None:
-        held = self._lease.holds(self._clock.monotonic_s())
+        held = self._lease.is_valid(self._clock.monotonic_s())
         version = self._view.get().configuration.version
-        if not leases.may_take_lease(version, answer.configuration_version, holds_lease=held):
+        if not leases.may_renew_lease(version, answer.configuration_version, holds_lease=held):
             # Guards against acting on an older configuration, or honouring a key that was taken
             # away, after the newer one was acknowledged: that waits only for boxes with a lease.
             return
-        self._lease.renewed(sent_at_s, answer.lease_s)
+        self._lease.record_renewal(sent_at_s, answer.lease_s)
         self._counts.renew_extra_share(
             retry_budget.Grant(
                 lease_s=answer.lease_s,
@@ -407,6 +407,6 @@
                 problem=str(failure),
             )
         self._fails = True
-        if self._lease.until_s > 0 and not self._lease.holds(self._clock.monotonic_s()):
+        if self._lease.until_s > 0 and not self._lease.is_valid(self._clock.monotonic_s()):
             events.emit(_LOG, events.Event.LEASE_LOST, level=logging.ERROR)
             self._lease.until_s = float("-inf")
--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -101,7 +101,7 @@
         store: replica_store.ReplicaStore,
         timing: states.Timing,
         message_senders: senders.Senders,
-        state: agreed.AgreedState,
+        state: agreed.ReplicatedState,
         view: actors.View[replica_standing.Standing],
         clock: clocks.Clock,
         rng: random.Random,
@@ -397,7 +397,7 @@
 class ReplicatedLog(agreement.Agreement):
     """The log that is replicated among several control boxes."""
 
-    def __init__(self, controller: pykka.ActorRef[Any], state: agreed.AgreedState) -> None:
+    def __init__(self, controller: pykka.ActorRef[Any], state: agreed.ReplicatedState) -> None:
         self._controller = controller
         self._state = state
 
@@ -415,6 +415,6 @@
             proposal.fail(codes.RunState.NOT_RUN)
         return proposal.result
 
-    def read(self) -> agreed.AgreedState:
+    def read(self) -> agreed.ReplicatedState:
         """Return the state applied on this box, which may lag behind the leader's."""
         return self._state
--- a/src/croftpulley/controllers/router_state.py
+++ b/src/croftpulley/controllers/router_state.py
@@ -11,7 +11,7 @@
 """How long a box goes by the leader's word that a pool's endpoints have one version."""
 LONGEST_SETTLED_S = 60.0
 """Streams of routes with a longer time limit may outlast what the leader remembers of versions that
-are gone (`core.pool_versions.OUTLIVED_S`), so nothing is settled for them."""
+are gone (`core.pool_versions.RESUMABLE_AFTER_UNLISTED_S`), so nothing is settled for them."""
 
 
 @attrs.frozen
@@ -53,7 +53,7 @@
     draining: bool = False
     heard_no_leader: bool = False
     leader_address: str = ""
-    evacuated: halls.Evacuated = attrs.field(factory=halls.Evacuated)
+    evacuated: halls.EvacuatedHalls = attrs.field(factory=halls.EvacuatedHalls)
     returned_at_s: dict[str, float] = attrs.field(factory=dict)
     cold: dict[str, int] = attrs.field(factory=dict)
     cold_at_s: float = float("-inf")
@@ -77,7 +77,7 @@
         """The configuration in use; version 0 before the first."""
         return self.tables.configuration
 
-    def with_evacuated(self, evacuated: halls.Evacuated, now_s: float) -> RouterState:
+    def with_evacuated(self, evacuated: halls.EvacuatedHalls, now_s: float) -> RouterState:
         """Return the state once this box obeys what is evacuated now."""
         returned_at_s = {
             hall: at_s for hall, at_s in self.returned_at_s.items() if hall not in evacuated.names
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -48,7 +48,7 @@
 two renewals. Until then routers keep those that they were told last, at most 1 s old; the sum of
 one box told as that of all has it send to endpoints that the others fill."""
 LEAST_KEPT_S = 5.0
-"""How long after the end of its lease a box leaves the agreed state at least; one that only
+"""How long after the end of its lease a box leaves the replicated state at least; one that only
 restarted does not write to the log again. It stays for longer where repeats count for longer: its
 share of the extra is nobody else's before (`core.retry_budget`)."""
 
@@ -213,11 +213,11 @@
             self._tell_leaving(report.leaving)
         newest = state.submissions.held.version
         known = report.configuration_version
-        if not leases.may_take_lease(known, newest, holds_lease=report.holds_lease):
+        if not leases.may_renew_lease(known, newest, holds_lease=report.holds_lease):
             return attrs.evolve(self._answer(report, state), lease_s=0.0)
         changed = self._sessions.renew(
             report.box,
-            sessions.Known(report.configuration_version, report.halls_revision),
+            sessions.AppliedVersions(report.configuration_version, report.halls_revision),
             listed_counts.EndpointLoads(
                 report.in_flight, report.reading_tokens, report.resting_s, report.unreached
             ),
@@ -229,7 +229,7 @@
             self._settle()
         return self._answer(report, state)
 
-    def _is_registered(self, box: membership.Box, state: agreed.AgreedState) -> bool:
+    def _is_registered(self, box: membership.Box, state: agreed.ReplicatedState) -> bool:
         if box.name in self._forgetting and box.name in state.boxes:
             # What is about to leave the state must not be granted a lease meanwhile: no next
             # leader would know of it.
@@ -251,7 +251,7 @@
         )
 
     def _answer(
-        self, report: box_messages.BoxReport, state: agreed.AgreedState
+        self, report: box_messages.BoxReport, state: agreed.ReplicatedState
     ) -> box_messages.BoxReportAnswer:
         standing = self._standing.get()
         listed = self._versions.agreed_part(self._endpoints.get())
@@ -271,7 +271,7 @@
             silent_addresses=standing.silent_addresses,
             configuration_version=state.submissions.held.version,
             boxes_version=self._boxes.version,
-            boxes=self._boxes.unless(report.boxes_version),
+            boxes=self._boxes.if_changed(report.boxes_version),
             endpoints_version=listed.endpoints.version,
             endpoints=self._newer_endpoints(listed, report.endpoints_version),
             loads=listed_counts.encode_counts(loads.in_flight, order) if are_whole else None,
@@ -286,8 +286,10 @@
                 report.box.name, self._clock.monotonic_s()
             ),
             mixed=self._mixed(listed),
-            suspects=state.suspects.bulletin.since(report.suspects_revision, self._clock.wall_s()),
-            evacuated=state.evacuated.unless(report.halls_revision),
+            suspects=state.suspects.bulletin.changes_since(
+                report.suspects_revision, self._clock.wall_s()
+            ),
+            evacuated=state.evacuated.if_changed(report.halls_revision),
         )
 
     def _cold(self, box: str, listed: listing.Listing) -> dict[str, int]:
@@ -323,7 +325,7 @@
 
     def _are_loads_whole(self) -> bool:
         is_new = self._clock.monotonic_s() - self._leads_from_s < LOADS_AWAITED_S
-        return not (is_new and self._sessions.awaits_boxes)
+        return not (is_new and self._sessions.has_unheard_boxes)
 
     def _is_life(self, key: str, listed: listing.Listing) -> bool:
         """Tell whether a note is of a life that is listed; without a list none is left out."""
@@ -336,7 +338,7 @@
         """Return the list for a box that knows another one, unless it may know a newer one."""
         if self._is_old(listed) and known_version:
             return None
-        return listed.endpoints.unless(known_version)
+        return listed.endpoints.if_changed(known_version)
 
     def _tick(self) -> None:
         if not self._leads():
@@ -345,7 +347,7 @@
             return
         self._versions.note(self._endpoints.get())
         now_s = self._clock.monotonic_s()
-        for box in self._sessions.expire(now_s):
+        for box in self._sessions.remove_expired(now_s):
             events.emit(_LOG, events.Event.BOX_EXPIRED, expired_box=box)
             self._forget_at_s[box] = now_s + self._kept_s
         # Not at each renewal: that would cost all boxes' work for each of them.
@@ -398,7 +400,7 @@
             return StatusAnswer((), ())
         now_s = self._clock.monotonic_s()
         state = self._agreement.read()
-        newest = sessions.Known(state.submissions.held.version, state.evacuated.revision)
+        newest = sessions.AppliedVersions(state.submissions.held.version, state.evacuated.revision)
         late = self._sessions.waiting_for(newest, now_s)
         return StatusAnswer(self._sessions.boxes(now_s), late)
 
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -60,7 +60,7 @@
         self._counters = counters
         self._clock = clock
         self._lock = threading.Lock()
-        self._origins = origins.Origins()
+        self._origins = origins.OriginTable()
         self._keepers = peers.OriginHolders(box)
         self._links = links.Links(TIMEOUT_S, counters, MOST_CONNECTIONS)
         self._links_lock = threading.Lock()
@@ -74,7 +74,7 @@
 
     # --- this box's own streams ----------------------------------------------------------------
 
-    def begun(self, told: origins.Told, *, always_told: bool) -> None:
+    def begun(self, told: origins.OriginAnnouncement, *, always_told: bool) -> None:
         """Note that an endpoint wrote a stream's first event, which has not been passed on yet.
 
         While its pool may have endpoints of several versions, or if it is ``always_told``, other
@@ -86,7 +86,7 @@
         is_settled = state.is_settled(told.origin.pool, now_s)
         is_new = not is_settled and self._is_new(told.origin, now_s)
         with self._lock:
-            self._origins.note(told, now_s, is_told=False)
+            self._origins.remember(told, now_s, is_announced=False)
         if is_new:
             self._tell_at_once(told, state)
         if always_told or not is_settled:
@@ -95,7 +95,7 @@
     def ended_whole(self, stream: origins.StreamId) -> None:
         """Note that a stream's answer has ended whole at this box."""
         with self._lock:
-            self._origins.ended_whole(stream, self._clock.monotonic_s())
+            self._origins.mark_completed(stream, self._clock.monotonic_s())
 
     def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
         """Take the list of endpoints: versions that were not there before are new."""
@@ -108,7 +108,9 @@
         seen_at_s = self._seen_at_s.get((origin.pool, origin.version), now_s)
         return now_s < seen_at_s + NEW_S
 
-    def _tell_at_once(self, told: origins.Told, state: router_state.RouterState) -> None:
+    def _tell_at_once(
+        self, told: origins.OriginAnnouncement, state: router_state.RouterState
+    ) -> None:
         """Return once one box has taken it that is asked by others, or where there is none."""
         boxes = self._by_answers(self._keepers.for_stream(told.stream, state.boxes))
         message = box_messages.OriginsTold(streams=(told,))
@@ -134,7 +136,7 @@
                 return Found(answer.origin, each.name)
         return None
 
-    def remembered(self, stream: origins.StreamId) -> origins.Record | None:
+    def remembered(self, stream: origins.StreamId) -> origins.StreamRecord | None:
         """Return what this box itself remembers of a stream."""
         with self._lock:
             return self._origins.find(stream, self._clock.monotonic_s())
@@ -152,31 +154,31 @@
 
     # --- what other boxes tell -----------------------------------------------------------------
 
-    def take(self, streams: Iterable[origins.Told]) -> None:
+    def take(self, streams: Iterable[origins.OriginAnnouncement]) -> None:
         """Remember what another box tells."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             for each in streams:
-                self._origins.note(each, now_s)
+                self._origins.remember(each, now_s)
 
     # --- for the controller --------------------------------------------------------------------
 
-    def take_untold(self, always_told: frozenset[str]) -> list[origins.Told]:
+    def take_untold(self, always_told: frozenset[str]) -> list[origins.OriginAnnouncement]:
         """Return what other boxes are to be told now; it counts as told."""
         now_s = self._clock.monotonic_s()
         state = self._view.get()
         with self._lock:
             pools = [
                 pool
-                for pool in self._origins.untold_pools()
+                for pool in self._origins.pools_with_unannounced()
                 if pool in always_told or not state.is_settled(pool, now_s)
             ]
-            return self._origins.take_untold(pools, now_s)
+            return self._origins.take_unannounced(pools, now_s)
 
-    def all_told(self) -> list[origins.Told]:
+    def all_told(self) -> list[origins.OriginAnnouncement]:
         """Return all that several boxes should know."""
         with self._lock:
-            return list(self._origins.told(self._clock.monotonic_s()))
+            return list(self._origins.announced(self._clock.monotonic_s()))
 
     def to_tell(self, stream: origins.StreamId) -> tuple[membership.Box, ...]:
         """Return the boxes that are to keep a stream, beside this one."""
@@ -185,7 +187,7 @@
     def forget(self) -> None:
         """Drop what is kept no longer, and the links to boxes that are gone."""
         with self._lock:
-            self._origins.forget(self._clock.monotonic_s())
+            self._origins.remove_expired(self._clock.monotonic_s())
         addresses = {each.peer_address for each in self._view.get().boxes}
         with self._links_lock:
             self._links.keep(addresses)
@@ -276,17 +278,17 @@
 
     def _tell(
         self,
-        streams: Iterable[origins.Told],
+        streams: Iterable[origins.OriginAnnouncement],
         boxes_for: Callable[[origins.StreamId], tuple[membership.Box, ...]],
     ) -> None:
-        by_box: dict[membership.Box, list[origins.Told]] = {}
+        by_box: dict[membership.Box, list[origins.OriginAnnouncement]] = {}
         for each in streams:
             for box in boxes_for(each.stream):
                 by_box.setdefault(box, []).append(each)
         for box, told in by_box.items():
             self._tell_one(box, told)
 
-    def _tell_one(self, box: membership.Box, told: list[origins.Told]) -> None:
+    def _tell_one(self, box: membership.Box, told: list[origins.OriginAnnouncement]) -> None:
         for start in range(0, len(told), MOST_A_MESSAGE):
             if self._known.is_avoided(box):
                 self._lost(box, len(told) - start)
--- a/src/croftpulley/controllers/suspect_register.py
+++ b/src/croftpulley/controllers/suspect_register.py
@@ -83,7 +83,7 @@
                 codes.ResultCode.NOT_LEADER, run_state=codes.RunState.UNKNOWN
             )
 
-    def _bulletin(self) -> bulletins.Bulletin:
+    def _bulletin(self) -> bulletins.PublishedSuspects:
         return self._agreement.read().suspects.bulletin
 
     def _leads(self) -> bool:
--- a/src/croftpulley/controllers/version_notes.py
+++ b/src/croftpulley/controllers/version_notes.py
@@ -16,7 +16,7 @@
 class _Agreed:
     """The part of a list that boxes may be told of, by what it was made from.
 
-    ``is_noted`` tells whether the agreed state says what the list says.
+    ``is_noted`` tells whether the replicated state says what the list says.
     """
 
     listed: listing.Listing
@@ -36,7 +36,7 @@
         self._agreed = _Agreed(nothing, pool_versions.PoolVersions(), nothing, is_noted=True)
 
     def note(self, listed: listing.Listing) -> None:
-        """Have the agreed state say which versions are listed, if it says something else."""
+        """Have the replicated state say which versions are listed, if it says something else."""
         if not listed.endpoints.value:
             # An empty list is told to nobody either.
             return
@@ -48,7 +48,7 @@
         self._agreement.propose(agreed.NoteVersions(tuple(sorted(found)), self._clock.wall_s()))
 
     def agreed_part(self, listed: listing.Listing) -> listing.Listing:
-        """Return a list without endpoints whose version is not in the agreed state yet."""
+        """Return a list without endpoints whose version is not in the replicated state yet."""
         return self._made(listed).told
 
     def mixed(self) -> tuple[str, ...]:
@@ -64,7 +64,7 @@
         if self._agreed.listed is not listed or self._agreed.known is not known:
             found = _versions_of(listed)
             told = _part(listed, found, known)
-            self._agreed = _Agreed(listed, known, told, is_noted=not known.lacks(found))
+            self._agreed = _Agreed(listed, known, told, is_noted=not known.differs_from(found))
         return self._agreed
 
 
--- a/src/croftpulley/core/agreed.py
+++ b/src/croftpulley/core/agreed.py
@@ -141,7 +141,7 @@
     | claims.ClaimAnswer
     | suspect_messages.TrialAnswer
     | tuple[suspect_rules.Suspect, ...]
-    | halls.Evacuated
+    | halls.EvacuatedHalls
     | pool_versions.PoolVersions
     | bool
     | int
@@ -149,15 +149,15 @@
 
 
 @attrs.define
-class AgreedState:
+class ReplicatedState:
     """The state that must survive restarts of control boxes."""
 
-    submissions: submissions.Register = attrs.field(factory=submissions.Submissions)
+    submissions: submissions.ConfigurationRegister = attrs.field(factory=submissions.Submissions)
     claims: claims.Claims = attrs.field(factory=claims.Claims)
     boxes: dict[str, membership.Box] = attrs.field(factory=dict)
     owners: dict[str, membership.Ownership] = attrs.field(factory=dict)
     suspects: suspects.Suspects = attrs.field(factory=suspects.Suspects)
-    evacuated: halls.Evacuated = attrs.field(factory=halls.Evacuated)
+    evacuated: halls.EvacuatedHalls = attrs.field(factory=halls.EvacuatedHalls)
     pool_versions: pool_versions.PoolVersions = attrs.field(factory=pool_versions.PoolVersions)
 
     def clear(self) -> None:
@@ -167,7 +167,7 @@
         self.boxes = {}
         self.owners = {}
         self.suspects = suspects.Suspects()
-        self.evacuated = halls.Evacuated()
+        self.evacuated = halls.EvacuatedHalls()
         self.pool_versions = pool_versions.PoolVersions()
 
     def apply(self, command: Command) -> Result:
--- a/src/croftpulley/core/bulletins.py
+++ b/src/croftpulley/core/bulletins.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Entry:
+class PublishedSuspect:
     """A published suspect and the revision that last changed it."""
 
     revision: int
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Removal:
+class RemovedSuspect:
     """A fingerprint that is no longer suspect, and the revision that removed it."""
 
     revision: int
@@ -24,31 +24,33 @@
 
 
 @attrs.frozen
-class Bulletin:
+class PublishedSuspects:
     """The suspects published to routers; immutable, so any thread may read it.
 
-    ``from_revision`` is the oldest revision from which single changes are still known; a router
+    ``oldest_revision`` is the oldest revision from which single changes are still known; a router
     with an older revision gets all suspects.
     """
 
     revision: int = 0
-    from_revision: int = 0
-    entries: tuple[Entry, ...] = ()
-    removals: tuple[Removal, ...] = ()
+    oldest_revision: int = 0
+    entries: tuple[PublishedSuspect, ...] = ()
+    removals: tuple[RemovedSuspect, ...] = ()
 
     def find(self, fingerprint: str) -> suspect_rules.Suspect | None:
         """Return the suspect with this fingerprint, or ``None``."""
         found = (each.suspect for each in self.entries if each.suspect.fingerprint == fingerprint)
         return next(found, None)
 
-    def since(self, revision: int, now_wall_s: float) -> suspect_messages.SuspectsUpdate | None:
+    def changes_since(
+        self, revision: int, now_wall_s: float
+    ) -> suspect_messages.SuspectsUpdate | None:
         """Return the changes after a revision, or ``None`` if there are none.
 
         All suspects are returned, with ``is_whole`` set, where the single changes are not known.
         """
         if revision == self.revision:
             return None
-        is_whole = not self.from_revision <= revision < self.revision
+        is_whole = not self.oldest_revision <= revision < self.revision
         known = 0 if is_whole else revision
         return suspect_messages.SuspectsUpdate(
             revision=self.revision,
--- a/src/croftpulley/core/leases.py
+++ b/src/croftpulley/core/leases.py
@@ -18,11 +18,11 @@
     margin_s: float
     until_s: float = float("-inf")
 
-    def renewed(self, sent_at_s: float, lease_s: float) -> None:
+    def record_renewal(self, sent_at_s: float, lease_s: float) -> None:
         """Extend the lease by a renewal sent at ``sent_at_s``; an older one has no effect."""
         self.until_s = max(self.until_s, sent_at_s + lease_s - self.margin_s)
 
-    def holds(self, now_s: float) -> bool:
+    def is_valid(self, now_s: float) -> bool:
         """Tell whether the lease is valid, so that the holder may act."""
         return now_s < self.until_s
 
@@ -35,7 +35,7 @@
     margin_s: float
     expires_at_s: dict[str, float] = attrs.field(factory=dict)
 
-    def assume(self, box: str, now_s: float) -> None:
+    def assume_granted(self, box: str, now_s: float) -> None:
         """Assume after a restart that ``box`` was granted a lease just before it."""
         self.renew(box, now_s)
 
@@ -43,11 +43,11 @@
         """Grant or renew the lease of a box."""
         self.expires_at_s[box] = now_s + self.lease_s + self.margin_s
 
-    def live(self, box: str, now_s: float) -> bool:
+    def may_be_valid(self, box: str, now_s: float) -> bool:
         """Tell whether the box may still consider its lease valid."""
         return now_s < self.expires_at_s.get(box, float("-inf"))
 
-    def expire(self, now_s: float) -> list[str]:
+    def remove_expired(self, now_s: float) -> list[str]:
         """Remove and return the boxes whose lease has ended."""
         ended = [box for box, at_s in self.expires_at_s.items() if now_s >= at_s]
         for box in ended:
@@ -55,7 +55,7 @@
         return ended
 
 
-def may_take_lease(version: int, newest_version: int, *, holds_lease: bool) -> bool:
+def may_renew_lease(version: int, newest_version: int, *, holds_lease: bool) -> bool:
     """Tell whether a box that uses configuration ``version`` may have its lease renewed.
 
     A box that is behind the newest configuration and holds no lease must fetch that configuration
@@ -63,7 +63,7 @@
     that returns after a power loss would delay the acknowledgement of every change until it has
     fetched the newest configuration, and callers would be sent to it before it can serve.
 
-    >>> may_take_lease(4, 5, holds_lease=True), may_take_lease(4, 5, holds_lease=False)
+    >>> may_renew_lease(4, 5, holds_lease=True), may_renew_lease(4, 5, holds_lease=False)
     (True, False)
     """
     return version >= newest_version or holds_lease
--- a/src/croftpulley/core/listed.py
+++ b/src/croftpulley/core/listed.py
@@ -82,7 +82,7 @@
             self.has_stale_entries = True
             return held.endpoint
         known = held.endpoint if held is not None else None
-        endpoint = membership.sticky(known, listed)
+        endpoint = membership.carry_over_leaving_flag(known, listed)
         self._tracked[listed.name] = _TrackedEndpoint(endpoint)
         return endpoint
 
--- a/src/croftpulley/core/membership.py
+++ b/src/croftpulley/core/membership.py
@@ -111,15 +111,17 @@
         return self.outstanding / self.engines if self.engines else 0.0
 
 
-def keep_leaving(known: dict[str, Endpoint], listed: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
+def carry_over_leaving_flags(
+    known: dict[str, Endpoint], listed: tuple[Endpoint, ...]
+) -> tuple[Endpoint, ...]:
     """Return the listed endpoints with the ``leaving`` flag of earlier lists carried over.
 
     ``known`` holds the endpoints of earlier lists by name.
     """
-    return tuple(sticky(known.get(each.name), each) for each in listed)
+    return tuple(carry_over_leaving_flag(known.get(each.name), each) for each in listed)
 
 
-def sticky(known: Endpoint | None, listed: Endpoint) -> Endpoint:
+def carry_over_leaving_flag(known: Endpoint | None, listed: Endpoint) -> Endpoint:
     """Return ``listed``, marked as leaving if ``known`` is the same run and was leaving."""
     if known is not None and known.key == listed.key and known.leaving:
         return attrs.evolve(listed, leaving=True)
--- a/src/croftpulley/core/origins.py
+++ b/src/croftpulley/core/origins.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-KEPT_S = 60.0
+RETENTION_S = 60.0
 """How long beyond its route's time limit a stream is remembered. Callers resume a stream within
 seconds, as their own users wait."""
 COMPLETED_RETENTION_S = 10.0
@@ -26,7 +26,7 @@
 """Maximum number of streams of one workspace, so that it cannot displace those of all others."""
 _MAX_ORIGINS_PER_STREAM = 2
 """A second origin of one stream shows that its id was used twice; more need not be stored."""
-LONGEST_ID = 128
+MAX_REQUEST_ID_LENGTH = 128
 """Maximum length of a request id in characters; streams with longer ids are not remembered."""
 
 
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class Told:
+class OriginAnnouncement:
     """The origin of a stream, as boxes announce it; the recipient keeps it for ``kept_s``."""
 
     stream: StreamId
@@ -56,7 +56,7 @@
 
 
 @attrs.define
-class Record:
+class StreamRecord:
     """What is remembered of a stream; two origins if two streams had the same id."""
 
     origins: tuple[Origin, ...]
@@ -69,26 +69,30 @@
         return self.origins[0] if len(self.origins) == 1 else None
 
 
-def _announcements(stream: StreamId, record: Record, now_s: float) -> list[Told]:
-    return [Told(stream, each, record.expires_at_s - now_s) for each in record.origins]
+def _announcements(
+    stream: StreamId, record: StreamRecord, now_s: float
+) -> list[OriginAnnouncement]:
+    return [
+        OriginAnnouncement(stream, each, record.expires_at_s - now_s) for each in record.origins
+    ]
 
 
 @attrs.define
-class Origins:
+class OriginTable:
     """The streams that one box remembers, the least recently noted first.
 
-    >>> kept, stream = Origins(), StreamId("clinic", "r-1")
-    >>> kept.note(Told(stream, Origin("llm", "v1"), 60.0), 0.0)
-    >>> kept.find(stream, 1.0).origin, kept.find(stream, 61.0)
+    >>> table, stream = OriginTable(), StreamId("clinic", "r-1")
+    >>> table.remember(OriginAnnouncement(stream, Origin("llm", "v1"), 60.0), 0.0)
+    >>> table.find(stream, 1.0).origin, table.find(stream, 61.0)
     (Origin(pool='llm', version='v1'), None)
-    >>> kept.note(Told(stream, Origin("llm", "v2"), 60.0), 2.0)
-    >>> kept.find(stream, 3.0).origin is None
+    >>> table.remember(OriginAnnouncement(stream, Origin("llm", "v2"), 60.0), 2.0)
+    >>> table.find(stream, 3.0).origin is None
     True
     """
 
     max_streams: int = MAX_STREAMS
     max_streams_per_workspace: int = MAX_STREAMS_PER_WORKSPACE
-    _records: dict[StreamId, Record] = attrs.field(factory=dict)
+    _records: dict[StreamId, StreamRecord] = attrs.field(factory=dict)
     _count_by_workspace: collections.Counter[str] = attrs.field(factory=collections.Counter)
     _unannounced: dict[str, dict[StreamId, None]] = attrs.field(factory=dict)
     """Streams that began here and are not announced to other boxes yet, by pool."""
@@ -96,40 +100,42 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note(self, told: Told, now_s: float, *, is_told: bool = True) -> None:
+    def remember(
+        self, announcement: OriginAnnouncement, now_s: float, *, is_announced: bool = True
+    ) -> None:
         """Remember a stream, or extend how long it is remembered.
 
-        With ``is_told`` false the stream is announced by the next `take_unannounced`. A stream
+        With ``is_announced`` false the stream is announced by the next `take_unannounced`. A stream
         with too long an id is ignored.
         """
-        stream = told.stream
-        if len(stream.request_id) > LONGEST_ID:
+        stream = announcement.stream
+        if len(stream.request_id) > MAX_REQUEST_ID_LENGTH:
             return
         known = self.find(stream, now_s)
         origins = known.origins if known is not None else ()
-        if told.origin not in origins:
-            origins = (*origins, told.origin)[:_MAX_ORIGINS_PER_STREAM]
+        if announcement.origin not in origins:
+            origins = (*origins, announcement.origin)[:_MAX_ORIGINS_PER_STREAM]
         self._drop(stream)
-        self._records[stream] = Record(origins, now_s + told.kept_s, is_told)
+        self._records[stream] = StreamRecord(origins, now_s + announcement.kept_s, is_announced)
         self._count_by_workspace[stream.workspace] += 1
-        if not is_told:
-            self._unannounced.setdefault(told.origin.pool, {})[stream] = None
+        if not is_announced:
+            self._unannounced.setdefault(announcement.origin.pool, {})[stream] = None
         self._enforce_limits(stream.workspace)
 
-    def find(self, stream: StreamId, now_s: float) -> Record | None:
+    def find(self, stream: StreamId, now_s: float) -> StreamRecord | None:
         """Return what is remembered of a stream, ``None`` if it is unknown or has expired."""
         record = self._records.get(stream)
         return record if record is not None and now_s < record.expires_at_s else None
 
-    def ended_whole(self, stream: StreamId, now_s: float) -> None:
+    def mark_completed(self, stream: StreamId, now_s: float) -> None:
         """Shorten how long a stream is remembered, as this box sent its complete answer."""
         record = self._records.get(stream)
         if record is not None:
             record.expires_at_s = min(record.expires_at_s, now_s + COMPLETED_RETENTION_S)
 
-    def take_untold(self, pools: Iterable[str], now_s: float) -> list[Told]:
+    def take_unannounced(self, pools: Iterable[str], now_s: float) -> list[OriginAnnouncement]:
         """Return the unannounced streams of pools and mark them as announced."""
-        taken: list[Told] = []
+        taken: list[OriginAnnouncement] = []
         for pool in pools:
             for stream in self._unannounced.pop(pool, {}):
                 record = self.find(stream, now_s)
@@ -138,17 +144,17 @@
                     taken += _announcements(stream, record, now_s)
         return taken
 
-    def untold_pools(self) -> tuple[str, ...]:
+    def pools_with_unannounced(self) -> tuple[str, ...]:
         """Return the pools with unannounced streams."""
         return tuple(self._unannounced)
 
-    def told(self, now_s: float) -> Iterator[Told]:
+    def announced(self, now_s: float) -> Iterator[OriginAnnouncement]:
         """Yield all streams that were announced by this box or to it."""
         for stream, record in self._records.items():
             if record.is_announced and now_s < record.expires_at_s:
                 yield from _announcements(stream, record, now_s)
 
-    def forget(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Remove expired streams."""
         for stream in [name for name, each in self._records.items() if each.expires_at_s <= now_s]:
             self._drop(stream)
--- a/src/croftpulley/core/parts.py
+++ b/src/croftpulley/core/parts.py
@@ -17,7 +17,7 @@
 """Keeps messages small enough for a link to carry within the timeout of a call. A part is 22 kB in
 JSON, 1.8 ms on a link of 12.5 MB/s: if 200 routers ask one control box at the same moment, the last
 of them waits 0.4 s, and a heartbeat waits behind single parts only."""
-LONGEST_BYTES = 64 * 1024 * 1024
+MAX_TEXT_SIZE_BYTES = 64 * 1024 * 1024
 """Maximum size of a configuration, packed and unpacked; one that claims to be longer is damaged."""
 _MAX_CONSECUTIVE_MISMATCHES = 2
 """After this many mismatching parts in a row the data received before is taken to be wrong, and is
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Packed:
+class PackedConfiguration:
     """The packed text of one version, as a control box serves it."""
 
     version: int
@@ -57,21 +57,21 @@
     checksum: int
 
     @classmethod
-    def of(cls, version: int, text: bytes) -> Packed:
+    def from_text(cls, version: int, text: bytes) -> PackedConfiguration:
         """Create it from the packed text, computing the checksum."""
         return cls(version, text, zlib.crc32(text))
 
-    def part(self, request: ConfigurationRequest) -> ConfigurationPart:
+    def part_for(self, request: ConfigurationRequest) -> ConfigurationPart:
         """Return the answer to a request.
 
         Raises `errors.CroftpulleyError` (BAD_REQUEST) if the offset is outside the text.
 
-        >>> packed = Packed.of(2, b"text")
-        >>> packed.part(ConfigurationRequest(version=2, offset=1)).data
+        >>> packed = PackedConfiguration.from_text(2, b"text")
+        >>> packed.part_for(ConfigurationRequest(version=2, offset=1)).data
         b'ext'
-        >>> packed.part(ConfigurationRequest(version=1, offset=1)).data
+        >>> packed.part_for(ConfigurationRequest(version=1, offset=1)).data
         b'text'
-        >>> packed.part(ConfigurationRequest(version=3, offset=1)).data
+        >>> packed.part_for(ConfigurationRequest(version=3, offset=1)).data
         b''
         """
         if self.version < request.version:
@@ -89,14 +89,15 @@
 
 
 @attrs.define
-class Gathering:
+class ConfigurationDownload:
     """Assembles the newest version that a router knows of from its parts.
 
-    >>> gathering = Gathering()
-    >>> gathering.aim(2)
-    >>> gathering.take(Packed.of(2, b"text").part(gathering.request()))
+    >>> download = ConfigurationDownload()
+    >>> download.set_target(2)
+    >>> part = PackedConfiguration.from_text(2, b"text").part_for(download.request())
+    >>> download.add_part(part)
     b'text'
-    >>> gathering.request() is None
+    >>> download.request() is None
     True
     """
 
@@ -107,7 +108,7 @@
     _mismatches: int = 0
     _is_complete: bool = True
 
-    def aim(self, version: int) -> None:
+    def set_target(self, version: int) -> None:
         """Start on ``version`` if it is newer than the current one."""
         if version > self.version:
             self.version = version
@@ -119,7 +120,7 @@
             return None
         return ConfigurationRequest(version=self.version, offset=len(self._received))
 
-    def take(self, part: ConfigurationPart) -> bytes | None:
+    def add_part(self, part: ConfigurationPart) -> bytes | None:
         """Add a part; return the whole packed text with the last part, ``None`` before.
 
         A part that is repeated, out of order or of an older version has no effect. Raises
@@ -129,7 +130,7 @@
         if part.version < self.version:
             return None
         _check_bounds(part)
-        self.aim(part.version)
+        self.set_target(part.version)
         if self._is_complete:
             return None
         self._check_same_text(part)
@@ -168,13 +169,15 @@
         self._is_complete = False
 
 
-def sources(addresses: tuple[str, ...], leader_address: str, rng: random.Random) -> tuple[str, ...]:
+def fetch_order(
+    addresses: tuple[str, ...], leader_address: str, rng: random.Random
+) -> tuple[str, ...]:
     """Return the control boxes to ask for a part, in the order to try them.
 
     The leader comes last: routers then share the links of the other boxes, and its heartbeats do
     not queue behind parts. The others are shuffled to spread the routers over them.
 
-    >>> sources(("a", "b"), "a", random.Random(1))
+    >>> fetch_order(("a", "b"), "a", random.Random(1))
     ('b', 'a')
     """
     others = [each for each in addresses if each != leader_address]
@@ -183,9 +186,9 @@
 
 
 def _check_bounds(part: ConfigurationPart) -> None:
-    if not 0 < part.size_bytes <= LONGEST_BYTES:
+    if not 0 < part.size_bytes <= MAX_TEXT_SIZE_BYTES:
         raise _bad_request(
-            f"got a text of {part.size_bytes} bytes, allowed is 1 to {LONGEST_BYTES}"
+            f"got a text of {part.size_bytes} bytes, allowed is 1 to {MAX_TEXT_SIZE_BYTES}"
         )
     if not 0 < len(part.data) <= PART_SIZE_BYTES:
         raise _bad_request(f"got {len(part.data)} bytes, allowed is 1 to {PART_SIZE_BYTES}")
--- a/src/croftpulley/core/pool_versions.py
+++ b/src/croftpulley/core/pool_versions.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-OUTLIVED_S = 120.0
+RESUMABLE_AFTER_UNLISTED_S = 120.0
 """How long after a version was last listed its streams may still be resumed: twice the longest time
 limit of a route whose streams are ever settled (`router_state.LONGEST_SETTLED_S`)."""
 
@@ -34,7 +34,10 @@
 
     def has_resumable_streams(self, now_wall_s: float) -> bool:
         """Tell whether streams of this version may still be resumed."""
-        return self.gone_at_wall_s is None or now_wall_s < self.gone_at_wall_s + OUTLIVED_S
+        return (
+            self.gone_at_wall_s is None
+            or now_wall_s < self.gone_at_wall_s + RESUMABLE_AFTER_UNLISTED_S
+        )
 
 
 @attrs.frozen
@@ -43,7 +46,7 @@
 
     >>> one, two = PoolVersion("llm", "v1"), PoolVersion("llm", "v2")
     >>> both = PoolVersions().with_listed([one], 0.0).with_listed([one, two], 1.0)
-    >>> both.mixed(1.0), both.lacks([one, two])
+    >>> both.mixed(1.0), both.differs_from([one, two])
     (('llm',), False)
     >>> after = both.with_listed([two], 2.0)
     >>> after.mixed(121.0), after.mixed(122.0)
@@ -65,7 +68,7 @@
         kept = [each for each in gone if each.has_resumable_streams(now_wall_s)]
         return PoolVersions(tuple(sorted(present + kept, key=lambda each: each.pool_version)))
 
-    def lacks(self, listed: Iterable[PoolVersion]) -> bool:
+    def differs_from(self, listed: Iterable[PoolVersion]) -> bool:
         """Tell whether a list has other versions than the last recorded one."""
         return self.listed_versions() != frozenset(listed)
 
--- a/src/croftpulley/core/sessions.py
+++ b/src/croftpulley/core/sessions.py
@@ -19,17 +19,19 @@
 
 
 @attrs.frozen
-class Known:
+class AppliedVersions:
     """The configuration version and the revision of evacuated halls that a box applies.
 
-    >>> Known(7, 2).covers(Known(6)), Known(7, 2).covers(Known(0, 3))
-    (True, False)
+    >>> AppliedVersions(7, 2).is_at_least(AppliedVersions(6))
+    True
+    >>> AppliedVersions(7, 2).is_at_least(AppliedVersions(0, 3))
+    False
     """
 
     configuration_version: int = 0
     halls_revision: int = 0
 
-    def covers(self, wanted: Known) -> bool:
+    def is_at_least(self, wanted: AppliedVersions) -> bool:
         """Tell whether both numbers are at least those of ``wanted``."""
         return (
             self.configuration_version >= wanted.configuration_version
@@ -40,7 +42,7 @@
 @attrs.define
 class _Session:
     box: membership.Box
-    applied: Known
+    applied: AppliedVersions
     renewed_at_s: float
     load: listed_counts.EndpointLoads
 
@@ -92,12 +94,12 @@
         self._leases.expires_at_s.clear()
         self._unheard = set(registered)
         for box in registered:
-            self._leases.assume(box, now_s)
+            self._leases.assume_granted(box, now_s)
 
     def renew(
         self,
         box: membership.Box,
-        applied: Known,
+        applied: AppliedVersions,
         load: listed_counts.EndpointLoads,
         now_s: float,
     ) -> bool:
@@ -123,22 +125,22 @@
         if dropped is not None:
             self._count(dropped.load, listed_counts.EndpointLoads())
 
-    def expire(self, now_s: float) -> list[str]:
+    def remove_expired(self, now_s: float) -> list[str]:
         """Remove and return the boxes whose lease has ended."""
-        ended = self._leases.expire(now_s)
+        ended = self._leases.remove_expired(now_s)
         for box in ended:
             self._drop(box)
             self._unheard.discard(box)
         return ended
 
-    def waiting_for(self, wanted: Known, now_s: float) -> tuple[str, ...]:
+    def waiting_for(self, wanted: AppliedVersions, now_s: float) -> tuple[str, ...]:
         """Return the boxes that may hold a lease and may not apply ``wanted`` yet, sorted."""
         late = [
             name
             for name, session in self._sessions.items()
-            if not session.applied.covers(wanted) and self._leases.live(name, now_s)
+            if not session.applied.is_at_least(wanted) and self._leases.may_be_valid(name, now_s)
         ]
-        unheard = [name for name in self._unheard if self._leases.live(name, now_s)]
+        unheard = [name for name in self._unheard if self._leases.may_be_valid(name, now_s)]
         return tuple(sorted(late + unheard))
 
     def boxes(self, now_s: float) -> tuple[membership.Box, ...]:
@@ -153,7 +155,7 @@
         )
 
     @property
-    def awaits_boxes(self) -> bool:
+    def has_unheard_boxes(self) -> bool:
         """Whether a registered box has not renewed yet, so that sums lack its part."""
         return bool(self._unheard)
 
--- a/src/croftpulley/core/submissions.py
+++ b/src/croftpulley/core/submissions.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Accepted:
+class AcceptedSubmission:
     """The record of an accepted submission."""
 
     operator: str
@@ -41,11 +41,11 @@
     """
 
     code: codes.ResultCode
-    winner: Accepted
+    winner: AcceptedSubmission
 
 
 @attrs.frozen
-class Held:
+class VersionedDocument:
     """A document and its version in one immutable value.
 
     So a thread that reads while a submission is applied gets both of the same submission.
@@ -56,29 +56,29 @@
 
 
 @attrs.define
-class Register(abc.ABC):
+class ConfigurationRegister(abc.ABC):
     """The current document, and the rule that decides which submissions replace it."""
 
-    held: Held = Held()
+    held: VersionedDocument = VersionedDocument()
 
     @abc.abstractmethod
     def submit(self, submission: Submission) -> SubmissionAnswer:
         """Apply a submission if the rule accepts it, and return the answer."""
 
     @abc.abstractmethod
-    def history(self) -> tuple[Accepted, ...]:
+    def history(self) -> tuple[AcceptedSubmission, ...]:
         """Return the recorded submissions, oldest first."""
 
-    def find(self, number: int) -> Accepted | None:
+    def find(self, number: int) -> AcceptedSubmission | None:
         """Return the recorded submission with this number, or ``None``."""
         return next((each for each in self.history() if each.number == number), None)
 
 
 @attrs.define
-class Submissions(Register):
+class Submissions(ConfigurationRegister):
     """The first submission with a number gets it; the version counts accepted submissions."""
 
-    by_number: dict[int, Accepted] = attrs.field(factory=dict)
+    by_number: dict[int, AcceptedSubmission] = attrs.field(factory=dict)
 
     def submit(self, submission: Submission) -> SubmissionAnswer:
         """Apply a submission, or repeat the earlier answer.
@@ -93,24 +93,26 @@
         code = codes.ResultCode.OK if same else codes.ResultCode.SUBMISSION_CONFLICT
         return SubmissionAnswer(code, winner)
 
-    def history(self) -> tuple[Accepted, ...]:
+    def history(self) -> tuple[AcceptedSubmission, ...]:
         """Return all accepted submissions."""
         return tuple(self.by_number.values())
 
-    def find(self, number: int) -> Accepted | None:
+    def find(self, number: int) -> AcceptedSubmission | None:
         """Return the accepted submission with this number, or ``None``."""
         return self.by_number.get(number)
 
-    def _accept(self, submission: Submission) -> Accepted:
+    def _accept(self, submission: Submission) -> AcceptedSubmission:
         version = self.held.version + 1
-        self.held = Held(version, submission.document_json)
-        accepted = Accepted(submission.operator, submission.number, submission.digest, version)
+        self.held = VersionedDocument(version, submission.document_json)
+        accepted = AcceptedSubmission(
+            submission.operator, submission.number, submission.digest, version
+        )
         self.by_number[submission.number] = accepted
         return accepted
 
 
 @attrs.define
-class HighestNumber(Register):
+class HighestNumber(ConfigurationRegister):
     """The submission with the highest number is current, and its number is the version.
 
     A submission with a lower or equal number is acknowledged and changes nothing: a newer one has
@@ -118,17 +120,17 @@
     wins.
     """
 
-    current: Accepted = Accepted("", 0, "", 0)
+    current: AcceptedSubmission = AcceptedSubmission("", 0, "", 0)
 
     def submit(self, submission: Submission) -> SubmissionAnswer:
         """Apply a submission if its number is the highest so far; the code is always OK."""
         if submission.number > self.held.version:
-            self.held = Held(submission.number, submission.document_json)
-            self.current = Accepted(
+            self.held = VersionedDocument(submission.number, submission.document_json)
+            self.current = AcceptedSubmission(
                 submission.operator, submission.number, submission.digest, submission.number
             )
         return SubmissionAnswer(codes.ResultCode.OK, self.current)
 
-    def history(self) -> tuple[Accepted, ...]:
+    def history(self) -> tuple[AcceptedSubmission, ...]:
         """Return the current submission, if any; earlier ones are not kept."""
         return (self.current,) if self.held.version else ()
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -56,10 +56,10 @@
     TrialAnswer(verdict=<Verdict.REFUSED: 'refused'>, crashes=4, wait_s=3593.0)
     """
 
-    bulletin: bulletins.Bulletin = attrs.field(factory=bulletins.Bulletin)
+    bulletin: bulletins.PublishedSuspects = attrs.field(factory=bulletins.PublishedSuspects)
     _by_fingerprint: dict[str, suspect_rules.Suspect] = attrs.field(factory=dict)
-    _published: dict[str, bulletins.Entry] = attrs.field(factory=dict)
-    _removals: collections.deque[bulletins.Removal] = attrs.field(factory=collections.deque)
+    _published: dict[str, bulletins.PublishedSuspect] = attrs.field(factory=dict)
+    _removals: collections.deque[bulletins.RemovedSuspect] = attrs.field(factory=collections.deque)
     _from_revision: int = 0
     _revision: int = 0
 
@@ -70,7 +70,7 @@
         for each in suspects:
             made._by_fingerprint[each.fingerprint] = each
             if each.is_published:
-                made._published[each.fingerprint] = bulletins.Entry(revision, each)
+                made._published[each.fingerprint] = bulletins.PublishedSuspect(revision, each)
         made._publish()
         return made
 
@@ -180,7 +180,7 @@
         if suspect.is_published:
             self._revision += 1
             self._published.pop(name, None)
-            self._published[name] = bulletins.Entry(self._revision, suspect)
+            self._published[name] = bulletins.PublishedSuspect(self._revision, suspect)
 
     def _remove(self, fingerprint: str) -> None:
         """Remove a feature, and record the removal if routers know of it."""
@@ -188,7 +188,7 @@
         if self._published.pop(fingerprint, None) is None:
             return
         self._revision += 1
-        self._removals.append(bulletins.Removal(self._revision, fingerprint))
+        self._removals.append(bulletins.RemovedSuspect(self._revision, fingerprint))
         if len(self._removals) > MAX_REMOVALS:
             self._from_revision = self._removals.popleft().revision
 
@@ -225,7 +225,7 @@
     def _publish(self) -> None:
         """Replace the bulletin if anything in it changed."""
         if self.bulletin.revision != self._revision or not self.bulletin.entries:
-            self.bulletin = bulletins.Bulletin(
+            self.bulletin = bulletins.PublishedSuspects(
                 self._revision,
                 self._from_revision,
                 tuple(self._published.values()),
--- a/src/croftpulley/core/versions.py
+++ b/src/croftpulley/core/versions.py
@@ -36,6 +36,6 @@
             self.value = value
             self.version = fingerprint(value)
 
-    def unless(self, version: int) -> T | None:
+    def if_changed(self, version: int) -> T | None:
         """Return the value, or ``None`` for a recipient that already has this version."""
         return None if version == self.version else self.value
--- a/src/croftpulley/daemons/control.py
+++ b/src/croftpulley/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control daemon: the agreed state, leases and the directory, behind gRPC and HTTP."""
+"""The control daemon: the replicated state, leases and the directory, behind gRPC and HTTP."""
 
 from __future__ import annotations
 
--- a/src/croftpulley/daemons/redirector.py
+++ b/src/croftpulley/daemons/redirector.py
@@ -1,6 +1,6 @@
 """The daemon of a control box without a disk: it sends operators on to those that have one.
 
-Such a box can keep nothing, so it has no part in the agreed state and gives no leases.
+Such a box can keep nothing, so it has no part in the replicated state and gives no leases.
 """
 
 from __future__ import annotations
--- a/src/croftpulley/daemons/replica.py
+++ b/src/croftpulley/daemons/replica.py
@@ -1,4 +1,4 @@
-"""The daemon of a control box that shares the agreed state with others."""
+"""The daemon of a control box that shares the replicated state with others."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
         self._counters = metrics.Metrics()
         self._standing = actors.View(replica_standing.Standing())
         self._endpoints = actors.View(listing.Listing())
-        self._state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self._replica = self._start_replica()
         self._log = replica.ReplicatedLog(self._replica, self._state)
         self._suspects = suspect_register.SuspectRegister(self._log, self._standing, self._clock)
@@ -153,7 +153,7 @@
         return self._endpoints.get().read_at_s
 
     def leads(self) -> bool:
-        """Tell whether this box alone may answer for the agreed state."""
+        """Tell whether this box alone may answer for the replicated state."""
         return self.standing().leads(self._clock.monotonic_s())
 
     def stop(self) -> None:
--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -94,7 +94,7 @@
         self._dialer = dialer
         self._interface = interface or callers.OwnCallerInterface()
         self._clock = clock or clocks.SystemClock()
-        self._regions = halls.Regions(settings.regions)
+        self._regions = halls.HallRegions(settings.regions)
         self._chance = random.Random(uuid.uuid4().int)
         self._counters = metrics.Metrics(settings.workspace_labels)
         self._view = actors.View(router_state.RouterState(box_name=settings.box))
--- a/src/croftpulley/forwarding/base.py
+++ b/src/croftpulley/forwarding/base.py
@@ -119,7 +119,7 @@
     def home_regions(self) -> frozenset[str] | None:
         """Where it may run, by its route and its workspace; ``None``: anywhere."""
         of_workspace = self.workspace.home_regions if self.workspace else ()
-        return halls.allowed(self.known_route.home_regions, of_workspace)
+        return halls.allowed_regions(self.known_route.home_regions, of_workspace)
 
     @property
     def workspace_name(self) -> str:
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -73,8 +73,8 @@
         if not route.is_resumable_stream:
             return
         origin = exchange.origin or origins.Origin(exchange.pool, current.endpoint.version)
-        kept_s = route.time_limit_ms / 1000 + origins.KEPT_S
-        told = origins.Told(exchange.stream, origin, kept_s)
+        kept_s = route.time_limit_ms / 1000 + origins.RETENTION_S
+        told = origins.OriginAnnouncement(exchange.stream, origin, kept_s)
         self._origins.begun(told, always_told=route.is_split)
         exchange.origin = origin
 
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -72,7 +72,7 @@
         self,
         box: str,
         hall: str,
-        regions: halls.Regions,
+        regions: halls.HallRegions,
         view: actors.View[router_state.RouterState],
         silence_timeout_s: float,
         names: vocabulary.Vocabulary,
@@ -80,7 +80,7 @@
         clock: clocks.Clock,
     ) -> None:
         self._box = box
-        self._region = regions.of(hall)
+        self._region = regions.region_of(hall)
         self._regions = regions
         self._view = view
         self._silence_timeout_s = silence_timeout_s
@@ -112,7 +112,7 @@
         homes = exchange.home_regions
         if homes is not None:
             # The request is here already; it goes on to no other region but its homes.
-            reaching = self._regions.at_home(reaching, homes | {self._region})
+            reaching = self._regions.filter_by_region(reaching, homes | {self._region})
         now_s = self._clock.monotonic_s()
         return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
 
--- a/src/croftpulley/forwarding/service.py
+++ b/src/croftpulley/forwarding/service.py
@@ -49,10 +49,10 @@
     Threads that look up at the same time do so twice; what they come to is the same.
     """
 
-    def __init__(self, regions: halls.Regions) -> None:
+    def __init__(self, regions: halls.HallRegions) -> None:
         self._regions = regions
         self._endpoints: tuple[membership.Endpoint, ...] = ()
-        self._evacuated = halls.Evacuated()
+        self._evacuated = halls.EvacuatedHalls()
         self._members: dict[tuple[str, frozenset[str] | None, str | None], Members] = {}
 
     def members(
@@ -81,7 +81,7 @@
         version: str | None,
     ) -> Members:
         of_pool = [each for each in state.endpoints if each.pool == pool]
-        by_key = {each.key: each for each in self._regions.at_home(of_pool, homes)}
+        by_key = {each.key: each for each in self._regions.filter_by_region(of_pool, homes)}
         evacuated = state.evacuated.names
         in_service = {
             key: each
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -76,7 +76,7 @@
         is_heard = self._view.get().mixed is not None
         return errors.CroftpulleyError(
             codes.ResultCode.ORIGIN_UNKNOWN,
-            f"stream {exchange.facts.resumes[: origins.LONGEST_ID]!r}: {why}",
+            f"stream {exchange.facts.resumes[: origins.MAX_REQUEST_ID_LENGTH]!r}: {why}",
             retry_after_s=None if is_heard else UNHEARD_RETRY_S,
         )
 
@@ -89,8 +89,8 @@
             _LOG,
             events.Event.STREAM_TAKEN_UP,
             request_id=exchange.facts.request_id,
-            resumes=exchange.facts.resumes[: origins.LONGEST_ID],
-            after_event=exchange.facts.last_event_id[: origins.LONGEST_ID],
+            resumes=exchange.facts.resumes[: origins.MAX_REQUEST_ID_LENGTH],
+            after_event=exchange.facts.last_event_id[: origins.MAX_REQUEST_ID_LENGTH],
             outcome=outcome,
             pool=origin.pool if origin else exchange.pool,
             version=origin.version if origin else "",
--- a/src/croftpulley/http/operator_app.py
+++ b/src/croftpulley/http/operator_app.py
@@ -24,7 +24,7 @@
         health: health_app.HealthApp,
         token: tokens.TokenCheck,
         submit: Callable[[submissions.Submission], submissions.SubmissionAnswer],
-        read: Callable[[], submissions.Register],
+        read: Callable[[], submissions.ConfigurationRegister],
         waiting_for: Callable[[int], tuple[str, ...]],
         status: Callable[[], directory.StatusAnswer],
     ) -> None:
@@ -72,7 +72,7 @@
             )
         return self._described(accepted)
 
-    def _described(self, accepted: submissions.Accepted) -> wsgi.Response:
+    def _described(self, accepted: submissions.AcceptedSubmission) -> wsgi.Response:
         """Describe a submission; it is in force once no box is waited for."""
         waiting_for = self._waiting_for(accepted.version)
         document = {
--- a/src/croftpulley/http/tokens.py
+++ b/src/croftpulley/http/tokens.py
@@ -1,4 +1,4 @@
-"""The operators' token, without which nobody changes or reads the agreed state."""
+"""The operators' token, without which nobody changes or reads the replicated state."""
 
 from __future__ import annotations
 
--- a/src/croftpulley/interfaces/callers.py
+++ b/src/croftpulley/interfaces/callers.py
@@ -32,7 +32,7 @@
     def directory(
         self,
         view: actors.View[router_state.RouterState],
-        regions: halls.Regions,
+        regions: halls.HallRegions,
         ttl_s: float,
         clock: clocks.Clock,
     ) -> wsgi.Handler:
@@ -54,7 +54,7 @@
     def directory(
         self,
         view: actors.View[router_state.RouterState],
-        regions: halls.Regions,
+        regions: halls.HallRegions,
         ttl_s: float,
         clock: clocks.Clock,
     ) -> wsgi.Handler:
@@ -63,7 +63,7 @@
         def handle(request: wsgi.Request) -> wsgi.Response:
             require(request, "GET", "/v1/entry")
             given = dict(urllib.parse.parse_qsl(request.query))
-            caller = halls.Caller(
+            caller = halls.CallerLocation(
                 given.get("hall", ""), given.get("region", ""), given.get("host", "")
             )
             boxes = named_boxes(view.get(), caller, regions, clock.monotonic_s())
@@ -78,7 +78,10 @@
 
 
 def named_boxes(
-    state: router_state.RouterState, caller: halls.Caller, regions: halls.Regions, now_s: float
+    state: router_state.RouterState,
+    caller: halls.CallerLocation,
+    regions: halls.HallRegions,
+    now_s: float,
 ) -> list[membership.Box]:
     """Return the boxes that a caller may use, the nearest first.
 
@@ -93,7 +96,7 @@
     named = [box for box in known if not box.draining]
     if not named:
         raise errors.CroftpulleyError(codes.ResultCode.NO_LEASE, "no entry box is in service")
-    return regions.ordered(named, caller, state.tables.home_regions_of_host(caller.host))
+    return regions.nearest_boxes(named, caller, state.tables.home_regions_of_host(caller.host))
 
 
 def readiness_handler(path: str, not_ready: Callable[[], str]) -> wsgi.Handler:
--- a/src/croftpulley/interfaces/operators.py
+++ b/src/croftpulley/interfaces/operators.py
@@ -87,7 +87,7 @@
 
 def order_hall(
     plane: control_plane.ControlPlane, request: wsgi.Request, hall: str, *, evacuate: bool
-) -> halls.Evacuated:
+) -> halls.EvacuatedHalls:
     """Carry out an order about a hall, which is a call without a body."""
     if request.body:
         raise errors.CroftpulleyError(
@@ -111,7 +111,7 @@
 
 
 def _described_halls(
-    plane: control_plane.ControlPlane, evacuated: halls.Evacuated
+    plane: control_plane.ControlPlane, evacuated: halls.EvacuatedHalls
 ) -> wsgi.Response:
     names = sorted(plane.hall_names | set(evacuated.names))
     described = [{"hall": name, "evacuated": name in evacuated.names} for name in names]
--- a/src/croftpulley/platform/callers.py
+++ b/src/croftpulley/platform/callers.py
@@ -28,7 +28,7 @@
     def directory(
         self,
         view: actors.View[router_state.RouterState],
-        regions: halls.Regions,
+        regions: halls.HallRegions,
         ttl_s: float,
         clock: clocks.Clock,
     ) -> wsgi.Handler:
@@ -37,7 +37,7 @@
         def handle(request: wsgi.Request) -> wsgi.Response:
             callers.require(request, "GET", "/resolution")
             given = dict(urllib.parse.parse_qsl(request.query))
-            caller = halls.Caller(
+            caller = halls.CallerLocation(
                 given.get("zone", ""), given.get("region", ""), given.get("name", "")
             )
             boxes = callers.named_boxes(view.get(), caller, regions, clock.monotonic_s())
--- a/src/croftpulley/settings/schema.py
+++ b/src/croftpulley/settings/schema.py
@@ -180,7 +180,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReplicaSettings:
-    """Settings of a control box that shares the agreed state with others.
+    """Settings of a control box that shares the replicated state with others.
 
     ``seeds`` are addresses of control boxes for each other; at the ``first_start`` of a whole fleet
     they are the first replicas. ``peer_listen_address`` is where this box listens if others reach
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -40,11 +40,11 @@
     owners: tuple[membership.Ownership, ...]
     suspects: tuple[suspect_rules.Suspect, ...] = ()
     suspects_revision: int = 0
-    evacuated: halls.Evacuated = attrs.field(factory=halls.Evacuated)
+    evacuated: halls.EvacuatedHalls = attrs.field(factory=halls.EvacuatedHalls)
     pool_versions: pool_versions.PoolVersions = attrs.field(factory=pool_versions.PoolVersions)
 
 
-def encode(state: agreed.AgreedState) -> str:
+def encode(state: agreed.ReplicatedState) -> str:
     """Return the encoded state, as `restore` reads it."""
     document = _Document(
         register=_CONVERTER.unstructure(state.submissions, _REGISTERS),
@@ -62,7 +62,7 @@
     return packed_text.pack(orjson.dumps(_CONVERTER.unstructure(document)).decode())
 
 
-def restore(text: str, state: agreed.AgreedState) -> None:
+def restore(text: str, state: agreed.ReplicatedState) -> None:
     """Replace the content of ``state`` by the encoded state in ``text``.
 
     An empty text is the state before the first command. Raises `ValueError` for a text that holds
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -104,7 +104,7 @@
     next_note: int = 0
     held_off: tuple[str, ...] = ()
     suspects: suspect_messages.SuspectsUpdate | None = None
-    evacuated: halls.Evacuated | None = None
+    evacuated: halls.EvacuatedHalls | None = None
     cold: tuple[int, ...] = ()
     unreached: dict[str, int] = attrs.field(factory=dict)
     reaching: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
@@ -148,7 +148,7 @@
 class OriginsTold:
     """Streams to remember; may be sent again."""
 
-    streams: tuple[origins.Told, ...]
+    streams: tuple[origins.OriginAnnouncement, ...]
 
 
 @attrs.frozen(kw_only=True)
--- a/src/croftpulley/transport/control_client.py
+++ b/src/croftpulley/transport/control_client.py
@@ -17,7 +17,7 @@
 
 
 class ControlClient(abc.ABC):
-    """The agreed state as an entry box sees it.
+    """The replicated state as an entry box sees it.
 
     Every method raises `errors.CroftpulleyError` (CONTROL_UNREACHABLE) when no control box answers
     in time; the request may then have been carried out or not.
--- a/src/croftpulley/transport/leader_finder.py
+++ b/src/croftpulley/transport/leader_finder.py
@@ -1,4 +1,4 @@
-"""Asks control boxes who leads, for a box that has no part in the agreed state."""
+"""Asks control boxes who leads, for a box that has no part in the replicated state."""
 
 from __future__ import annotations
 
--- a/src/croftpulley/transport/packing.py
+++ b/src/croftpulley/transport/packing.py
@@ -28,11 +28,11 @@
     """Return the text; raises `errors.CroftpulleyError` (BAD_REQUEST) for what is no packed one."""
     unpacker = zlib.decompressobj()
     try:
-        text = unpacker.decompress(packed, parts.LONGEST_BYTES)
+        text = unpacker.decompress(packed, parts.MAX_TEXT_SIZE_BYTES)
         if not unpacker.eof:
             raise errors.CroftpulleyError(
                 codes.ResultCode.BAD_REQUEST,
-                f"got a packed text that is cut or longer than {parts.LONGEST_BYTES} bytes",
+                f"got a packed text that is cut or longer than {parts.MAX_TEXT_SIZE_BYTES} bytes",
             )
         return text.decode()
     except (zlib.error, UnicodeDecodeError) as failure:
--- a/testing/controllers/test_configuration_fetch.py
+++ b/testing/controllers/test_configuration_fetch.py
@@ -26,7 +26,7 @@
     """A command log with one configuration applied."""
 
     def __init__(self, version, text=TEXT):
-        self.state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self.submit(version, text)
 
     def submit(self, version, text):
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -29,7 +29,7 @@
     """A command log; ``on_read`` is called before each read of its state."""
 
     def __init__(self):
-        self.state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self.on_read = lambda: None
 
     def apply(self, version):
--- a/testing/controllers/test_permits.py
+++ b/testing/controllers/test_permits.py
@@ -126,7 +126,7 @@
         {"endpoints": (endpoint(), endpoint("f")), "held_off": frozenset({"f"})},
         {
             "endpoints": (endpoint(), endpoint("f", hall="hall-b")),
-            "evacuated": halls.Evacuated(names=frozenset({"hall-b"})),
+            "evacuated": halls.EvacuatedHalls(names=frozenset({"hall-b"})),
         },
     ],
 )
--- a/testing/controllers/test_replica_sight.py
+++ b/testing/controllers/test_replica_sight.py
@@ -29,7 +29,7 @@
     started = []
 
     def make(members=MEMBERS[:1], counters=None, open_file=files.DiskFile):
-        state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         view = actors.View(replica_standing.Standing())
         controller = replica.ReplicaController.start(
             replica.Identity(
@@ -116,14 +116,14 @@
     entries in one batch, so the states would have diverged. Found in review, not observed in
     operation.
     """
-    apply = agreed.AgreedState.apply
+    apply = agreed.ReplicatedState.apply
 
     def apply_or_raise(state, command):
         if command == agreed.ForgetBox("raises"):
             raise ValueError("cannot be applied")
         return apply(state, command)
 
-    monkeypatch.setattr(agreed.AgreedState, "apply", apply_or_raise)
+    monkeypatch.setattr(agreed.ReplicatedState, "apply", apply_or_raise)
     _, view, log = start()
     wait_until(lambda: has_authority(view), "the replica leads")
     failing = log.propose(agreed.ForgetBox("raises"))
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -47,7 +47,7 @@
 
     def __init__(self, fleet):
         self._fleet = fleet
-        self.state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
 
     def propose(self, command):
         self._fleet.after(COMMIT_S, lambda: self.state.apply(command))
@@ -86,7 +86,7 @@
             report = box_messages.BoxReport(
                 box=self.member,
                 configuration_version=0,
-                holds_lease=self.lease.holds(sent_s),
+                holds_lease=self.lease.is_valid(sent_s),
                 boxes_version=0,
                 endpoints_version=0,
                 in_flight={},
@@ -100,7 +100,7 @@
     def take(self, answer, sent_s, life):
         if not self.is_up or self.life != life or not answer.lease_s:
             return
-        self.lease.renewed(sent_s, answer.lease_s)
+        self.lease.record_renewal(sent_s, answer.lease_s)
         grant = retry_budget.Grant(
             lease_s=answer.lease_s,
             until_s=self.lease.until_s,
--- a/testing/controllers/test_sessions.py
+++ b/testing/controllers/test_sessions.py
@@ -31,7 +31,7 @@
 
     def __init__(self, version):
         self.proposed = []
-        self._state = agreed.AgreedState(submissions=submissions.HighestNumber())
+        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self._state.apply(agreed.RegisterBox(BOX))
         listed = pool_versions.PoolVersion(ENDPOINT.pool, ENDPOINT.version)
         self._state.apply(agreed.NoteVersions((listed,), 0.0))
@@ -127,7 +127,7 @@
 
 def waits_for(controller, version):
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.Known(version), done))
+    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(version), done))
     return done
 
 
@@ -287,7 +287,7 @@
     controller.handle(report())
     controller._agreement.read().apply(agreed.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.Known(halls_revision=1), done))
+    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     told = controller.handle(report()).evacuated
     assert (told.revision, told.names) == (1, ("hall-b",))
     assert not is_in_force(done)
@@ -300,7 +300,7 @@
     controller, clock = make_leader()
     controller._agreement.read().apply(agreed.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.Known(halls_revision=1), done))
+    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     clock.advance(LEASE_S)
     controller.handle(actors.Tick())
     assert not is_in_force(done)
--- a/testing/controllers/test_stopped_controllers.py
+++ b/testing/controllers/test_stopped_controllers.py
@@ -49,7 +49,7 @@
 def test_command_proposed_after_the_stop_fails_as_not_run():
     stopped = actors.Controller.start()
     stopped.stop()
-    log = replica.ReplicatedLog(stopped, agreed.AgreedState())
+    log = replica.ReplicatedLog(stopped, agreed.ReplicatedState())
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER") as raised:
         log.propose(agreed.ForgetBox("a")).get(timeout=1)
     assert raised.value.run_state is codes.RunState.NOT_RUN
--- a/testing/controllers/test_stream_origins.py
+++ b/testing/controllers/test_stream_origins.py
@@ -17,7 +17,9 @@
 NOBODY_LISTENS = tuple(
     membership.Box(name, "hall-a", "", "127.0.0.1:1") for name in ("box-0", "box-1", "box-2")
 )
-TOLD = origins.Told(origins.StreamId("clinic", "r-1"), origins.Origin("llm", "v2"), 60.0)
+TOLD = origins.OriginAnnouncement(
+    origins.StreamId("clinic", "r-1"), origins.Origin("llm", "v2"), 60.0
+)
 
 
 @pytest.fixture
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -24,7 +24,7 @@
     """Applies at once, or refuses."""
 
     def __init__(self):
-        self.state = agreed.AgreedState()
+        self.state = agreed.ReplicatedState()
         self.proposed = []
         self.refuses = False
 
--- a/testing/core/test_agreed.py
+++ b/testing/core/test_agreed.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def state():
-    return agreed.AgreedState()
+    return agreed.ReplicatedState()
 
 
 def submit(state, operator="aigerim", number=1, document="{}"):
--- a/testing/core/test_halls.py
+++ b/testing/core/test_halls.py
@@ -18,7 +18,7 @@
 
 
 def state_after(orders):
-    state = agreed.AgreedState()
+    state = agreed.ReplicatedState()
     for each in orders:
         state.apply(commands.decode(commands.encode(each)))
     return state
@@ -45,15 +45,15 @@
 @given(ORDERS)
 def test_a_snapshot_keeps_the_evacuated_halls(orders):
     state = state_after(orders)
-    restored = agreed.AgreedState(evacuated=halls.Evacuated(9, ("x",)))
+    restored = agreed.ReplicatedState(evacuated=halls.EvacuatedHalls(9, ("x",)))
     state_codec.restore(state_codec.encode(state), restored)
     assert restored.evacuated == state.evacuated
 
 
 def test_a_snapshot_without_the_evacuated_field_restores_to_no_evacuated_halls():
-    text = state_codec.encode(agreed.AgreedState())
+    text = state_codec.encode(agreed.ReplicatedState())
     old_text = text.replace(',"evacuated":{"revision":0,"names":[]}', "")
     assert old_text != text
-    restored = agreed.AgreedState(evacuated=halls.Evacuated(9, ("x",)))
+    restored = agreed.ReplicatedState(evacuated=halls.EvacuatedHalls(9, ("x",)))
     state_codec.restore(old_text, restored)
-    assert restored.evacuated == halls.Evacuated()
+    assert restored.evacuated == halls.EvacuatedHalls()
--- a/testing/core/test_in_force.py
+++ b/testing/core/test_in_force.py
@@ -23,7 +23,7 @@
     """A box's own view: its lease and the evacuated halls that it applies."""
 
     lease: leases.HeldLease = attrs.field(factory=lambda: leases.HeldLease(MARGIN_S))
-    evacuated: halls.Evacuated = attrs.field(factory=halls.Evacuated)
+    evacuated: halls.EvacuatedHalls = attrs.field(factory=halls.EvacuatedHalls)
 
 
 class Fleet:
@@ -31,12 +31,12 @@
 
     def __init__(self, *, waits_for_unheard_boxes=True, sends_state_with_lease=True):
         self.now_s = 100.0
-        self.evacuated = halls.Evacuated()
+        self.evacuated = halls.EvacuatedHalls()
         self.waits_for_unheard_boxes = waits_for_unheard_boxes
         self.sends_state_with_lease = sends_state_with_lease
         self.routers = {name: SimulatedRouter() for name in BOXES}
         self.waiting = []
-        self.acknowledged = halls.Evacuated()
+        self.acknowledged = halls.EvacuatedHalls()
         self.lead()
 
     def lead(self):
@@ -54,7 +54,7 @@
         """Renew the lease of a box; the report or the answer may be lost, and both take time."""
         router = self.routers[name]
         sent_s = self.now_s
-        known = sessions.Known(halls_revision=router.evacuated.revision)
+        known = sessions.AppliedVersions(halls_revision=router.evacuated.revision)
         if report_arrives:
             box = membership.Box(name, "h", "", "")
             self.leader.renew(box, known, listed_counts.EndpointLoads(), self.now_s)
@@ -64,20 +64,20 @@
         if report_arrives and answer_arrives:
             if self.sends_state_with_lease:
                 router.evacuated = answered
-            router.lease.renewed(sent_s, LEASE_S)
+            router.lease.record_renewal(sent_s, LEASE_S)
 
     def restart(self, name):
         self.routers[name] = SimulatedRouter()
 
     def pass_time(self, seconds_s):
         self.now_s += seconds_s
-        self.leader.expire(self.now_s)
+        self.leader.remove_expired(self.now_s)
         self.acknowledge_in_force()
 
     def acknowledge_in_force(self):
         """Acknowledge orders that all boxes with a lease apply."""
         for each in list(self.waiting):
-            wanted = sessions.Known(halls_revision=each.revision)
+            wanted = sessions.AppliedVersions(halls_revision=each.revision)
             if not self.leader.waiting_for(wanted, self.now_s):
                 self.waiting.remove(each)
                 if each.revision > self.acknowledged.revision:
@@ -88,7 +88,7 @@
         return [
             name
             for name, router in self.routers.items()
-            if router.lease.holds(self.now_s)
+            if router.lease.is_valid(self.now_s)
             and router.evacuated.revision < self.acknowledged.revision
         ]
 
--- a/testing/core/test_membership.py
+++ b/testing/core/test_membership.py
@@ -29,24 +29,24 @@
     held = leases.HeldLease(margin_s)
     granted = leases.GrantedLeases(lease_s, margin_s)
     granted.renew("box", delay_s)
-    held.renewed(0.0, lease_s)
+    held.record_renewal(0.0, lease_s)
     last_use_in_true_time_s = held.until_s / (1 + drift)
-    assert not held.holds(held.until_s)
-    assert granted.live("box", last_use_in_true_time_s) or last_use_in_true_time_s < delay_s
+    assert not held.is_valid(held.until_s)
+    assert granted.may_be_valid("box", last_use_in_true_time_s) or last_use_in_true_time_s < delay_s
 
 
 def test_an_older_renewal_does_not_shorten_a_lease():
     held = leases.HeldLease(0.5)
-    held.renewed(10.0, 4.0)
-    held.renewed(5.0, 4.0)
+    held.record_renewal(10.0, 4.0)
+    held.record_renewal(5.0, 4.0)
     assert held.until_s == 13.5
 
 
 def test_a_restarted_grantor_waits_for_leases_to_end():
     granted = leases.GrantedLeases(4.0, 0.2)
-    granted.assume("box", 100.0)
-    assert granted.live("box", 104.1)
-    assert granted.expire(104.2) == ["box"]
+    granted.assume_granted("box", 100.0)
+    assert granted.may_be_valid("box", 104.1)
+    assert granted.remove_expired(104.2) == ["box"]
 
 
 def test_engines_are_balanced_and_owned_ones_stay():
@@ -73,8 +73,10 @@
 
 def test_leaving_is_sticky_until_the_endpoint_restarts():
     known = {"e": engine("e", leaving=True)}
-    assert membership.keep_leaving(known, (engine("e"),))[0].leaving
-    assert not membership.keep_leaving(known, (engine("e", incarnation="2"),))[0].leaving
+    assert membership.carry_over_leaving_flags(known, (engine("e"),))[0].leaving
+    assert not membership.carry_over_leaving_flags(known, (engine("e", incarnation="2"),))[
+        0
+    ].leaving
 
 
 def test_removing_an_engine_moves_only_its_own_chats():
--- a/testing/core/test_origins.py
+++ b/testing/core/test_origins.py
@@ -17,13 +17,13 @@
 
 
 def announcement(number, origin=FIRST, workspace="clinic", kept_s=60.0):
-    return origins.Told(stream(number, workspace), origin, kept_s)
+    return origins.OriginAnnouncement(stream(number, workspace), origin, kept_s)
 
 
 def test_the_oldest_streams_are_forgotten_first():
-    table = origins.Origins(max_streams=3, max_streams_per_workspace=3)
+    table = origins.OriginTable(max_streams=3, max_streams_per_workspace=3)
     for number in range(5):
-        table.note(announcement(number), 0.0)
+        table.remember(announcement(number), 0.0)
     assert [table.find(stream(number), 1.0) is not None for number in range(5)] == [
         False,
         False,
@@ -34,59 +34,59 @@
 
 
 def test_a_workspace_at_its_limit_displaces_only_its_own_streams():
-    table = origins.Origins(max_streams=10, max_streams_per_workspace=2)
-    table.note(announcement(0, workspace="small"), 0.0)
+    table = origins.OriginTable(max_streams=10, max_streams_per_workspace=2)
+    table.remember(announcement(0, workspace="small"), 0.0)
     for number in range(8):
-        table.note(announcement(number), 0.0)
+        table.remember(announcement(number), 0.0)
     assert table.find(stream(0, "small"), 1.0) is not None
     assert len(table) == 3
 
 
 def test_a_resumed_stream_is_remembered_for_longer():
-    table = origins.Origins()
-    table.note(announcement(0), 0.0)
-    table.note(announcement(0), 50.0)
+    table = origins.OriginTable()
+    table.remember(announcement(0), 0.0)
+    table.remember(announcement(0), 50.0)
     assert table.find(stream(0), 100.0) is not None
 
 
 def test_a_completed_stream_is_remembered_only_briefly():
-    table = origins.Origins()
-    table.note(announcement(0), 0.0)
-    table.ended_whole(stream(0), 1.0)
+    table = origins.OriginTable()
+    table.remember(announcement(0), 0.0)
+    table.mark_completed(stream(0), 1.0)
     assert table.find(stream(0), 2.0) is not None
     assert table.find(stream(0), 1.0 + origins.COMPLETED_RETENTION_S) is None
 
 
 def test_the_same_id_in_another_workspace_is_another_stream():
-    table = origins.Origins()
-    table.note(announcement(0, FIRST, "clinic"), 0.0)
-    table.note(announcement(0, SECOND, "market"), 0.0)
+    table = origins.OriginTable()
+    table.remember(announcement(0, FIRST, "clinic"), 0.0)
+    table.remember(announcement(0, SECOND, "market"), 0.0)
     found = [table.find(stream(0, name), 1.0).origin for name in ("clinic", "market")]
     assert found == [FIRST, SECOND]
 
 
 def test_announcements_show_the_recipient_that_an_id_was_used_twice():
-    origin_box, table = origins.Origins(), origins.Origins()
+    origin_box, table = origins.OriginTable(), origins.OriginTable()
     for origin in (FIRST, SECOND, FIRST):
-        origin_box.note(announcement(0, origin), 0.0, is_told=False)
-        for each in origin_box.take_untold(["llm"], 0.0):
-            table.note(each, 0.0)
+        origin_box.remember(announcement(0, origin), 0.0, is_announced=False)
+        for each in origin_box.take_unannounced(["llm"], 0.0):
+            table.remember(each, 0.0)
     assert [each.find(stream(0), 1.0).origin for each in (origin_box, table)] == [None, None]
-    assert len(list(table.told(1.0))) == 2
+    assert len(list(table.announced(1.0))) == 2
 
 
 def test_forgotten_streams_are_not_announced():
-    table = origins.Origins(max_streams=1, max_streams_per_workspace=1)
-    table.note(announcement(0), 0.0, is_told=False)
-    table.note(announcement(1), 0.0, is_told=False)
-    assert [each.stream for each in table.take_untold(["llm"], 1.0)] == [stream(1)]
-    assert table.take_untold(["llm"], 1.0) == []
+    table = origins.OriginTable(max_streams=1, max_streams_per_workspace=1)
+    table.remember(announcement(0), 0.0, is_announced=False)
+    table.remember(announcement(1), 0.0, is_announced=False)
+    assert [each.stream for each in table.take_unannounced(["llm"], 1.0)] == [stream(1)]
+    assert table.take_unannounced(["llm"], 1.0) == []
 
 
 def test_a_stream_with_too_long_an_id_is_not_remembered():
-    table = origins.Origins()
-    stream_id = origins.StreamId("clinic", "x" * (origins.LONGEST_ID + 1))
-    table.note(origins.Told(stream_id, FIRST, 60.0), 0.0)
+    table = origins.OriginTable()
+    stream_id = origins.StreamId("clinic", "x" * (origins.MAX_REQUEST_ID_LENGTH + 1))
+    table.remember(origins.OriginAnnouncement(stream_id, FIRST, 60.0), 0.0)
     assert table.find(stream_id, 0.0) is None
 
 
@@ -137,10 +137,10 @@
 class Simulation:
     """Boxes that begin streams, announce and resume them, and crash, in any order."""
 
-    alive: dict[str, origins.Origins] = attrs.field(
-        factory=lambda: {name: origins.Origins() for name in NAMES}
+    alive: dict[str, origins.OriginTable] = attrs.field(
+        factory=lambda: {name: origins.OriginTable() for name in NAMES}
     )
-    in_transit: list[tuple[str, origins.Told]] = attrs.field(factory=list)
+    in_transit: list[tuple[str, origins.OriginAnnouncement]] = attrs.field(factory=list)
     """Announcements that have not arrived yet, with the box that they are sent to."""
     versions_written: dict[origins.StreamId, set[str]] = attrs.field(factory=dict)
     resumed_count: int = 0
@@ -150,10 +150,10 @@
         if box not in self.alive or name in self.versions_written:
             return
         self.versions_written[name] = {version}
-        self.announce(box, origins.Told(name, origins.Origin("llm", version), 60.0))
+        self.announce(box, origins.OriginAnnouncement(name, origins.Origin("llm", version), 60.0))
 
     def announce(self, box, announced):
-        self.alive[box].note(announced, 0.0)
+        self.alive[box].remember(announced, 0.0)
         keepers = peers.OriginHolders(box).for_stream(announced.stream, boxes_of(self.alive))
         self.in_transit += [(each.name, announced) for each in keepers[: peers.ORIGIN_COPIES]]
 
@@ -162,7 +162,7 @@
             return
         box, announced = self.in_transit.pop(position % len(self.in_transit))
         if box in self.alive:
-            self.alive[box].note(announced, 0.0)
+            self.alive[box].remember(announced, 0.0)
 
     def drop(self, position):
         if self.in_transit:
@@ -172,7 +172,7 @@
         self.alive.pop(box, None)
 
     def start(self, box):
-        self.alive.setdefault(box, origins.Origins())
+        self.alive.setdefault(box, origins.OriginTable())
 
     def resume(self, box, number, wanted):
         """Resume a stream; ``wanted`` is the version that the box would choose by itself."""
@@ -186,7 +186,7 @@
                 assert record.origin is not None
                 self.versions_written[name].add(record.origin.version)
                 self.resumed_count += 1
-                self.announce(box, origins.Told(name, record.origin, 60.0))
+                self.announce(box, origins.OriginAnnouncement(name, record.origin, 60.0))
                 return
         # No box knows the origin: the request is refused, whatever the box would choose.
         del wanted
@@ -239,7 +239,7 @@
     resumable = {
         version
         for version, at_s in last_listed_s.items()
-        if now_s - at_s < pool_versions.OUTLIVED_S
+        if now_s - at_s < pool_versions.RESUMABLE_AFTER_UNLISTED_S
     }
     if len(resumable) > 1:
         assert known.mixed(now_s) == ("llm",)
--- a/testing/core/test_parts.py
+++ b/testing/core/test_parts.py
@@ -17,13 +17,15 @@
 
 
 def packed(version, size_bytes=SIZE_BYTES):
-    return parts.Packed.of(version, random.Random(version).randbytes(size_bytes))
+    return parts.PackedConfiguration.from_text(
+        version, random.Random(version).randbytes(size_bytes)
+    )
 
 
 def download_all(download, text):
     """Request parts from one control box until none is missing, and return the complete text."""
     while (request := download.request()) is not None:
-        whole = download.take(text.part(request))
+        whole = download.add_part(text.part_for(request))
         if whole is not None:
             return whole
     return None
@@ -31,16 +33,16 @@
 
 def download_with_parts(text, part_count=1):
     """Return a download of ``text`` that has received ``part_count`` parts."""
-    download = parts.Gathering()
-    download.aim(text.version)
+    download = parts.ConfigurationDownload()
+    download.set_target(text.version)
     for _ in range(part_count):
-        assert download.take(text.part(download.request())) is None
+        assert download.add_part(text.part_for(download.request())) is None
     return download
 
 
 def assert_rejected(download, part):
     with pytest.raises(errors.CroftpulleyError) as raised:
-        download.take(part)
+        download.add_part(part)
     assert raised.value.code is codes.ResultCode.BAD_REQUEST
 
 
@@ -53,16 +55,19 @@
 
 
 def test_nothing_is_requested_before_a_version_is_known_or_after_it_is_complete():
-    download = parts.Gathering()
+    download = parts.ConfigurationDownload()
     assert download.request() is None
-    download.aim(0)
+    download.set_target(0)
     assert download.request() is None
-    download.aim(3)
+    download.set_target(3)
     download_all(download, packed(3))
-    download.aim(3)
-    download.aim(2)
+    download.set_target(3)
+    download.set_target(2)
     assert download.request() is None
-    assert download.take(packed(3).part(parts.ConfigurationRequest(version=3, offset=0))) is None
+    assert (
+        download.add_part(packed(3).part_for(parts.ConfigurationRequest(version=3, offset=0)))
+        is None
+    )
 
 
 def test_received_data_is_kept_when_a_part_fails():
@@ -70,7 +75,7 @@
     download = download_with_parts(text, 2)
     wanted = parts.ConfigurationRequest(version=3, offset=2 * parts.PART_SIZE_BYTES)
     assert download.request() == wanted
-    assert download.take(packed(2).part(wanted)) is None
+    assert download.add_part(packed(2).part_for(wanted)) is None
     assert download.request() == wanted
 
 
@@ -78,17 +83,17 @@
     text = packed(3)
     download = download_with_parts(text, 2)
     wanted = download.request()
-    assert download.take(text.part(attrs.evolve(wanted, offset=0))) is None
+    assert download.add_part(text.part_for(attrs.evolve(wanted, offset=0))) is None
     assert download.request() == wanted
     assert download_all(download, text) == text.text
 
 
 def test_a_newer_version_starts_over_and_an_older_one_changes_nothing():
     download = download_with_parts(packed(3), 2)
-    download.aim(2)
+    download.set_target(2)
     assert download.request().offset == 2 * parts.PART_SIZE_BYTES
     newer = packed(4)
-    assert download.take(newer.part(download.request())) is None
+    assert download.add_part(newer.part_for(download.request())) is None
     wanted = parts.ConfigurationRequest(version=4, offset=parts.PART_SIZE_BYTES)
     assert download.request() == wanted
     assert download_all(download, newer) == newer.text
@@ -96,13 +101,13 @@
 
 def test_a_box_without_the_version_answers_with_its_own_and_no_data():
     request = parts.ConfigurationRequest(version=4, offset=0)
-    assert packed(3).part(request) == parts.ConfigurationPart(version=3)
+    assert packed(3).part_for(request) == parts.ConfigurationPart(version=3)
 
 
 @pytest.mark.parametrize("offset", [-1, SIZE_BYTES, 1 << 40])
 def test_a_request_with_an_offset_outside_the_text_is_rejected(offset):
     with pytest.raises(errors.CroftpulleyError, match="offset"):
-        packed(3).part(parts.ConfigurationRequest(version=3, offset=offset))
+        packed(3).part_for(parts.ConfigurationRequest(version=3, offset=offset))
 
 
 @pytest.mark.parametrize(
@@ -111,7 +116,7 @@
         {"data": b""},
         {"data": bytes(parts.PART_SIZE_BYTES + 1)},
         {"size_bytes": 0},
-        {"size_bytes": parts.LONGEST_BYTES + 1},
+        {"size_bytes": parts.MAX_TEXT_SIZE_BYTES + 1},
         {"offset": -1},
         {"offset": SIZE_BYTES},
         {"checksum": 1},
@@ -122,18 +127,18 @@
     text = packed(3)
     download = download_with_parts(text)
     wanted = download.request()
-    assert_rejected(download, attrs.evolve(text.part(wanted), **damage))
+    assert_rejected(download, attrs.evolve(text.part_for(wanted), **damage))
     assert download.request() == wanted
     assert download_all(download, text) == text.text
 
 
 def test_received_data_is_discarded_after_two_mismatching_parts_in_a_row():
     text = packed(3)
-    wrong = parts.Packed.of(3, packed(3).text[::-1])
+    wrong = parts.PackedConfiguration.from_text(3, packed(3).text[::-1])
     download = download_with_parts(wrong)
-    assert_rejected(download, text.part(download.request()))
+    assert_rejected(download, text.part_for(download.request()))
     assert download.request().offset > 0
-    assert_rejected(download, text.part(download.request()))
+    assert_rejected(download, text.part_for(download.request()))
     assert download.request().offset == 0
     assert download_all(download, text) == text.text
 
@@ -141,7 +146,7 @@
 def test_parts_with_a_wrong_total_checksum_are_rejected_and_requested_again():
     text = packed(3)
     download = download_with_parts(text, 2)
-    last = text.part(download.request())
+    last = text.part_for(download.request())
     assert_rejected(download, attrs.evolve(last, data=bytes(len(last.data))))
     assert download.request() == parts.ConfigurationRequest(version=3, offset=0)
     assert download_all(download, text) == text.text
@@ -171,8 +176,8 @@
 
 @given(EVENTS)
 def test_any_order_of_failures_versions_and_repeats_ends_in_the_text_of_the_newest_version(events):
-    download = parts.Gathering()
-    download.aim(1)
+    download = parts.ConfigurationDownload()
+    download.set_target(1)
     sent = []
     completed = []
     for kind, value in events:
@@ -180,15 +185,15 @@
         newest = max([download.version, *(whole[0] for whole in completed)])
         assert download.version == newest, "a version is never followed by an older one"
         if kind == "aim":
-            download.aim(value)
+            download.set_target(value)
         elif kind == "again" and sent:
             part = sent[value % len(sent)]
             add_part(download, part, completed)
         elif kind == "answer" and request is not None:
-            sent.append(TEXTS[value].part(request))
+            sent.append(TEXTS[value].part_for(request))
             add_part(download, sent[-1], completed)
         elif kind == "damaged" and request is not None:
-            part = TEXTS[download.version].part(request)
+            part = TEXTS[download.version].part_for(request)
             add_part(download, value(part), completed)
     whole = finish_download(download)
     if whole is not None:
@@ -201,7 +206,7 @@
 
 def add_part(download, part, completed):
     try:
-        whole = download.take(part)
+        whole = download.add_part(part)
     except errors.CroftpulleyError:
         return
     if whole is not None:
@@ -218,7 +223,7 @@
         if request is None:
             return None
         completed = []
-        add_part(download, TEXTS[download.version].part(request), completed)
+        add_part(download, TEXTS[download.version].part_for(request), completed)
         if completed:
             return completed[0][1]
     pytest.fail("the download never completes")
@@ -229,14 +234,14 @@
 )
 def test_every_control_box_is_tried_once_and_the_leader_last(addresses, leader, seed):
     leader = leader.strip()
-    order = parts.sources(tuple(addresses), leader, random.Random(seed))
+    order = parts.fetch_order(tuple(addresses), leader, random.Random(seed))
     assert sorted(order) == sorted(addresses | ({leader} - {""}))
     assert not leader or order[-1] == leader
 
 
 def test_routers_spread_over_the_control_boxes_other_than_the_leader():
     addresses = tuple("abcdefgh")
-    first = [parts.sources(addresses, "a", random.Random(seed))[0] for seed in range(790)]
+    first = [parts.fetch_order(addresses, "a", random.Random(seed))[0] for seed in range(790)]
     assert set(first) == set(addresses) - {"a"}
     # 790 routers over seven boxes: 113 each on average.
     assert max(first.count(each) for each in addresses) < 170
--- a/testing/core/test_sessions.py
+++ b/testing/core/test_sessions.py
@@ -25,33 +25,33 @@
         return sessions.Sessions(lease_s=2.0, margin_s=0.1)
 
     def test_a_box_is_waited_for_until_it_applies_the_version_or_its_lease_ends(self, tracked):
-        tracked.renew(self.BOX, sessions.Known(3), listed_counts.EndpointLoads(), 0.0)
-        assert tracked.waiting_for(sessions.Known(4), 1.0) == ("box",)
-        assert tracked.waiting_for(sessions.Known(3), 1.0) == ()
-        assert tracked.waiting_for(sessions.Known(4), 2.2) == ()
+        tracked.renew(self.BOX, sessions.AppliedVersions(3), listed_counts.EndpointLoads(), 0.0)
+        assert tracked.waiting_for(sessions.AppliedVersions(4), 1.0) == ("box",)
+        assert tracked.waiting_for(sessions.AppliedVersions(3), 1.0) == ()
+        assert tracked.waiting_for(sessions.AppliedVersions(4), 2.2) == ()
 
     def test_a_new_leader_waits_for_boxes_that_have_not_renewed_yet(self, tracked):
         tracked.begin(("box", "other"), 0.0)
-        tracked.renew(self.BOX, sessions.Known(4), listed_counts.EndpointLoads(), 0.5)
-        assert tracked.waiting_for(sessions.Known(4), 1.0) == ("other",)
-        assert tracked.waiting_for(sessions.Known(4), 2.2) == ()
+        tracked.renew(self.BOX, sessions.AppliedVersions(4), listed_counts.EndpointLoads(), 0.5)
+        assert tracked.waiting_for(sessions.AppliedVersions(4), 1.0) == ("other",)
+        assert tracked.waiting_for(sessions.AppliedVersions(4), 2.2) == ()
 
     def test_a_silent_box_is_left_out_of_the_boxes_before_its_lease_ends(self, tracked):
-        tracked.renew(self.BOX, sessions.Known(3), listed_counts.EndpointLoads(), 0.0)
+        tracked.renew(self.BOX, sessions.AppliedVersions(3), listed_counts.EndpointLoads(), 0.0)
         assert tracked.boxes(0.5) == (self.BOX,)
         assert tracked.boxes(1.5) == ()
-        assert tracked.waiting_for(sessions.Known(4), 1.5) == ("box",)
+        assert tracked.waiting_for(sessions.AppliedVersions(4), 1.5) == ("box",)
 
     def test_loads_are_summed_over_boxes(self, tracked):
         tracked.renew(
             self.BOX,
-            sessions.Known(3),
+            sessions.AppliedVersions(3),
             listed_counts.EndpointLoads({"e": 2, "f": 1}, {"e": 70}),
             0.0,
         )
         tracked.renew(
             membership.Box("b2", "h", "", ""),
-            sessions.Known(3),
+            sessions.AppliedVersions(3),
             listed_counts.EndpointLoads({"e": 3}),
             0.0,
         )
@@ -70,10 +70,12 @@
         last = {}
         for number, (name, load) in enumerate(reports):
             now_s = number * 0.5
-            for ended in tracked.expire(now_s):
+            for ended in tracked.remove_expired(now_s):
                 del last[ended]
             box = membership.Box(name, "h", "", "")
-            tracked.renew(box, sessions.Known(1), listed_counts.EndpointLoads(load, load), now_s)
+            tracked.renew(
+                box, sessions.AppliedVersions(1), listed_counts.EndpointLoads(load, load), now_s
+            )
             last[name] = load
         sums = dict(
             sum((collections.Counter(each) for each in last.values()), collections.Counter())
@@ -83,6 +85,12 @@
         assert tracked.loads() == listed_counts.EndpointLoads()
 
     def test_renew_returns_whether_the_box_is_new_or_applies_another_version(self, tracked):
-        assert tracked.renew(self.BOX, sessions.Known(3), listed_counts.EndpointLoads(), 0.0)
-        assert not tracked.renew(self.BOX, sessions.Known(3), listed_counts.EndpointLoads(), 0.1)
-        assert tracked.renew(self.BOX, sessions.Known(4), listed_counts.EndpointLoads(), 0.2)
+        assert tracked.renew(
+            self.BOX, sessions.AppliedVersions(3), listed_counts.EndpointLoads(), 0.0
+        )
+        assert not tracked.renew(
+            self.BOX, sessions.AppliedVersions(3), listed_counts.EndpointLoads(), 0.1
+        )
+        assert tracked.renew(
+            self.BOX, sessions.AppliedVersions(4), listed_counts.EndpointLoads(), 0.2
+        )
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def state():
-    return agreed.AgreedState()
+    return agreed.ReplicatedState()
 
 
 def crash(state, fingerprint, *lives, at_s=0.0, workspace="clinic"):
@@ -58,7 +58,7 @@
 
 def update_for(state, revision=0, at_s=0.0):
     """Return the update that a router at ``revision`` receives."""
-    return state.suspects.bulletin.since(revision, at_s)
+    return state.suspects.bulletin.changes_since(revision, at_s)
 
 
 def test_one_crash_makes_no_suspect_and_is_not_published(state):
@@ -278,7 +278,7 @@
     def test_a_part_that_always_crashes_is_sent_at_most_three_times_after_the_fifth_crash(
         self, steps
     ):
-        state, at_s, crash_count, late = agreed.AgreedState(), 0.0, 0, 0
+        state, at_s, crash_count, late = agreed.ReplicatedState(), 0.0, 0, 0
         for number, (workspace, others, pause_s, is_reported) in enumerate(steps):
             at_s += pause_s
             answer = ask(
@@ -357,7 +357,7 @@
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
 def test_incremental_updates_give_the_same_as_a_full_one(steps):
-    state, router = agreed.AgreedState(), _Router()
+    state, router = agreed.ReplicatedState(), _Router()
     for command, is_updated in steps:
         state.apply(command)
         if is_updated:
@@ -370,13 +370,13 @@
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
 def test_a_restarted_control_box_computes_the_same_state(steps):
-    state, restarted = agreed.AgreedState(), agreed.AgreedState()
+    state, restarted = agreed.ReplicatedState(), agreed.ReplicatedState()
     for command, starts_again in steps:
         written = commands.encode(command)
         assert state.apply(command) == restarted.apply(commands.decode(written))
         if starts_again:
             text = state_codec.encode(restarted)
-            restarted = agreed.AgreedState()
+            restarted = agreed.ReplicatedState()
             state_codec.restore(text, restarted)
     assert restarted.suspects.all() == state.suspects.all()
     assert restarted.suspects.revision == state.suspects.revision
@@ -388,7 +388,7 @@
     )
 )
 def test_a_request_that_always_crashes_gets_a_limited_number_of_trials(steps):
-    state, now_s, granted = agreed.AgreedState(), 0.0, 0
+    state, now_s, granted = agreed.ReplicatedState(), 0.0, 0
     crash(state, "f", "e1", "e2")
     for number, (is_reported, pause_s) in enumerate(steps):
         now_s += pause_s
@@ -402,7 +402,7 @@
 
 def test_a_snapshot_without_suspects_can_be_restored(state):
     text = state_codec.encode(state)
-    restored = agreed.AgreedState()
+    restored = agreed.ReplicatedState()
     crash(restored, "f", "e1")
     state_codec.restore(text, restored)
     assert restored.suspects.all() == ()
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -50,7 +50,7 @@
 def leave(view, counts, clock):
     """Return what a sender calls as the first byte of a request should leave."""
     last_look = departures.LastLook(
-        view, counts, service.Service(halls.Regions({})), metrics.Metrics(), clock
+        view, counts, service.Service(halls.HallRegions({})), metrics.Metrics(), clock
     )
 
     def look(placed=PLACED, repeat=None):
@@ -95,7 +95,7 @@
     [
         ({"endpoints": (attrs.evolve(ENDPOINT, leaving=True),)}, service.Bar.LEAVING),
         ({"endpoints": ()}, service.Bar.UNLISTED),
-        ({"evacuated": halls.Evacuated(1, ("h",))}, service.Bar.EVACUATED),
+        ({"evacuated": halls.EvacuatedHalls(1, ("h",))}, service.Bar.EVACUATED),
     ],
 )
 def test_what_routers_are_told_meanwhile_holds_it_back(leave, view, changes, bar):
--- a/testing/interfaces/test_callers.py
+++ b/testing/interfaces/test_callers.py
@@ -25,7 +25,7 @@
 
 
 def named(known, now_s):
-    return callers.named_boxes(known, halls.Caller("hall-a"), halls.Regions(), now_s)
+    return callers.named_boxes(known, halls.CallerLocation("hall-a"), halls.HallRegions(), now_s)
 
 
 def open_route():
--- a/testing/storage/test_packed_text.py
+++ b/testing/storage/test_packed_text.py
@@ -30,10 +30,10 @@
 
 
 def test_a_long_state_is_compressed_and_read_back(submitted):
-    state = agreed.AgreedState(submissions=submissions.HighestNumber())
+    state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
     state.apply(submitted)
     text = state_codec.encode(state)
-    restored = agreed.AgreedState()
+    restored = agreed.ReplicatedState()
     state_codec.restore(text, restored)
     assert restored == state
     assert len(text) < len(submitted.submission.document_json) / 4
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -44,10 +44,10 @@
 
 def test_a_lease_ends_while_its_holder_is_suspended(suspend, clock):
     lease = leases.HeldLease(margin_s=0.1)
-    lease.renewed(clock.monotonic_s(), 3.0)
-    assert lease.holds(clock.monotonic_s())
+    lease.record_renewal(clock.monotonic_s(), 3.0)
+    assert lease.is_valid(clock.monotonic_s())
     suspend()
-    assert not lease.holds(clock.monotonic_s())
+    assert not lease.is_valid(clock.monotonic_s())
 
 
 def test_a_leader_has_no_authority_after_a_suspension(suspend, clock):
--- a/testing/transport/test_packing.py
+++ b/testing/transport/test_packing.py
@@ -27,6 +27,6 @@
 
 
 def test_a_text_that_is_too_long_is_not_unpacked(monkeypatch):
-    monkeypatch.setattr(parts, "LONGEST_BYTES", 100)
+    monkeypatch.setattr(parts, "MAX_TEXT_SIZE_BYTES", 100)
     with pytest.raises(errors.CroftpulleyError, match="longer than 100 bytes"):
         packing.unpack(packing.pack("a" * 101))
