--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -32,7 +32,7 @@
 SNAPSHOT_AFTER_BYTES = 2 * 1024 * 1024
 """The log file is compacted when more than either was added since the last compaction, or as much
 as the compacted file held if that is more. This keeps restarts short and fits on a small disk."""
-LARGE_REQUEST_BYTES = long_texts.PART_LENGTH
+LARGE_REQUEST_BYTES = long_texts.CHUNK_LENGTH
 """Every unanswered request of at least this size is logged, since its size may be the cause. Only
 requests that carry a whole part of a long text are this large."""
 _DISK_RETRY_S = 0.3
@@ -149,7 +149,7 @@
             case _ReplyReceived(reply, sent_s):
                 self._join_schedule.last_contact_s = self._clock.monotonic_s()
                 self._unresponsive.discard(_sender(reply))
-                self._with_replica(lambda core, now_s: core.reply(reply, sent_s, now_s))
+                self._with_replica(lambda core, now_s: core.handle_reply(reply, sent_s, now_s))
             case _RequestFailed():
                 self._on_request_failed(message)
             case actors.Tick():
@@ -238,7 +238,7 @@
             self._store.write(effects.write)
 
     def _receive(self, request: messages.Request) -> messages.Reply | None:
-        return self._with_replica(lambda core, now_s: core.receive(request, now_s)).reply
+        return self._with_replica(lambda core, now_s: core.handle_request(request, now_s)).reply
 
     def _send(self, replica: replicas.Replica, request: messages.Request) -> None:
         member = replica.members.find(request.to)
@@ -357,8 +357,8 @@
             proposal.result.set(result)
 
     def _compact(self, replica: replicas.Replica) -> None:
-        is_long = replica.is_long(SNAPSHOT_AFTER_ENTRIES)
-        if not is_long and not self._store.has_outgrown(SNAPSHOT_AFTER_BYTES):
+        is_long = replica.should_compact(SNAPSHOT_AFTER_ENTRIES)
+        if not is_long and not self._store.needs_rewrite(SNAPSHOT_AFTER_BYTES):
             return
         if replica.log.snapshot.index == replica.applied_index:
             return
--- a/src/croftpulley/controllers/replica_standing.py
+++ b/src/croftpulley/controllers/replica_standing.py
@@ -48,7 +48,7 @@
         role=replica.role,
         term=replica.term,
         leader_address=replica.leader_address(),
-        authority_until_s=replica.authority_until_s(now_s),
+        authority_until_s=replica.leader_lease_until_s(now_s),
         members=replica.members,
         silent_addresses=replica.silent_addresses(now_s),
     )
--- a/src/croftpulley/core/replication/leading.py
+++ b/src/croftpulley/core/replication/leading.py
@@ -55,7 +55,7 @@
             return float("-inf")
         return (
             self._tracker.quorum_acknowledged_sent_s(self._state.members, now_s)
-            + self._state.timing.election_s * self._state.timing.drift
+            + self._state.timing.election_s * self._state.timing.lease_fraction
         )
 
     def silent_addresses(self, now_s: float) -> tuple[str, ...]:
@@ -229,7 +229,7 @@
             leader=self._state.id,
             previous_index=previous_index,
             previous_term=previous_term,
-            entries=self._state.log.entries_from(peer.next_index, long_texts.PART_LENGTH),
+            entries=self._state.log.entries_from(peer.next_index, long_texts.CHUNK_LENGTH),
             commit_index=self._state.commit_index,
         )
 
--- a/src/croftpulley/core/replication/long_texts.py
+++ b/src/croftpulley/core/replication/long_texts.py
@@ -11,13 +11,13 @@
 
 from croftpulley.core.replication import messages
 
-PART_LENGTH = 32 * 1024
+CHUNK_LENGTH = 32 * 1024
 """Characters of text in one request. A leader sends to seven replicas at once: 0.25 MB including
 the encoding's overhead, which takes 0.02 s on a link of 100 Mbit/s and 0.2 s on one of 10 Mbit/s.
 The request timeout is 0.4 s and the election timeout 0.45 s."""
 
 
-def split(text: str, chunk_length: int = PART_LENGTH) -> tuple[str, ...]:
+def split(text: str, chunk_length: int = CHUNK_LENGTH) -> tuple[str, ...]:
     """Return the chunks of a text, at least one.
 
     >>> split("abcde", 2), split("", 2)
@@ -116,7 +116,7 @@
     @property
     def text(self) -> str:
         """The next chunk."""
-        return self.snapshot.state[self.offset : self.offset + PART_LENGTH]
+        return self.snapshot.state[self.offset : self.offset + CHUNK_LENGTH]
 
     def record_reply(self, reply: messages.SnapshotReply) -> bool:
         """Set the offset from the replica's reply; return whether the snapshot is complete there.
--- a/src/croftpulley/core/replication/replica.py
+++ b/src/croftpulley/core/replication/replica.py
@@ -79,7 +79,7 @@
         """Index of the last delivered entry that leaves no command incomplete."""
         return self._applier.applied_index
 
-    def is_long(self, max_entries: int) -> bool:
+    def should_compact(self, max_entries: int) -> bool:
         """Return whether the log should be compacted (`leading.Leader.should_compact`)."""
         return self._leader.should_compact(max_entries)
 
@@ -88,7 +88,7 @@
         member = self.members.find(self.leader)
         return member.address if member else ""
 
-    def authority_until_s(self, now_s: float) -> float:
+    def leader_lease_until_s(self, now_s: float) -> float:
         """Return when the leader lease ends, ``-inf`` without one.
 
         Until then no other replica can become leader (`leading.Leader.leader_lease_until_s`).
@@ -108,7 +108,7 @@
             self._elector.start_pre_vote(now_s, effects)
         return effects
 
-    def receive(self, request: messages.Request, now_s: float) -> states.Effects:
+    def handle_request(self, request: messages.Request, now_s: float) -> states.Effects:
         """Handle another replica's request.
 
         The effects are empty if the request is addressed to another id.
@@ -123,7 +123,7 @@
             case messages.SnapshotRequest():
                 return self._follower.on_snapshot(request, now_s)
 
-    def reply(self, reply: messages.Reply, sent_s: float, now_s: float) -> states.Effects:
+    def handle_reply(self, reply: messages.Reply, sent_s: float, now_s: float) -> states.Effects:
         """Handle the reply to a request that was sent at ``sent_s``."""
         match reply:
             case messages.VoteReply():
--- a/src/croftpulley/core/replication/state.py
+++ b/src/croftpulley/core/replication/state.py
@@ -36,7 +36,7 @@
     election_s: float = 0.45
     heartbeat_s: float = 0.1
     reply_timeout_s: float = 0.5
-    drift: float = 0.8
+    lease_fraction: float = 0.8
     replace_after_s: float = 2.0
     remove_after_s: float = 6.0
 
--- a/src/croftpulley/storage/replica_store.py
+++ b/src/croftpulley/storage/replica_store.py
@@ -125,7 +125,7 @@
         """The size of what was added to the current generation after its first record."""
         return self.size_bytes - self._initial_bytes if self._log is not None else 0
 
-    def has_outgrown(self, min_bytes: int) -> bool:
+    def needs_rewrite(self, min_bytes: int) -> bool:
         """Return whether the current generation should be rewritten.
 
         That is once as much was added as its first record takes, so that a rewrite costs no more
--- a/testing/core/replication/cluster.py
+++ b/testing/core/replication/cluster.py
@@ -123,7 +123,7 @@
         return [
             each
             for each in self.machines.values()
-            if each.alive and each.running.authority_until_s(self.now_s) > self.now_s
+            if each.alive and each.running.leader_lease_until_s(self.now_s) > self.now_s
         ]
 
     def propose(self, command: str) -> bool:
@@ -225,10 +225,10 @@
         if target is None or not target.alive or not is_connected:
             return
         if isinstance(message.body, messages.Reply):
-            effects = target.running.reply(message.body, message.sent_s, self.now_s)
+            effects = target.running.handle_reply(message.body, message.sent_s, self.now_s)
             self.execute(target, effects)
             return
-        effects = target.running.receive(message.body, self.now_s)
+        effects = target.running.handle_request(message.body, self.now_s)
         if effects.write is not None and self.rng.random() < self.loss / 4:
             # A crash before the sync: neither the write nor the reply took place.
             self.crash(target.address)
@@ -250,7 +250,7 @@
             command = self.waiting.pop((index, entry.term), None)
             if command is not None:
                 self.acknowledged.append(command)
-        if machine.running.is_long(COMPACT_AFTER_ENTRIES):
+        if machine.running.should_compact(COMPACT_AFTER_ENTRIES):
             machine.running.snapshot("\n".join(machine.applied))
             machine.disk = machine.running.stored()
 
--- a/testing/core/replication/test_large_entries.py
+++ b/testing/core/replication/test_large_entries.py
@@ -96,7 +96,7 @@
     cluster.propose(large_text(1_500_000))
     for _ in range(100):
         cluster.step()
-        lease_until_s = leader.running.authority_until_s(cluster.now_s)
+        lease_until_s = leader.running.leader_lease_until_s(cluster.now_s)
         assert lease_until_s > cluster.now_s, "the lease ended although a quorum follows"
     assert leader.running.role is state.Role.LEADER
     assert len(cluster.acknowledged) == 1
@@ -126,15 +126,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_snapshot_chunks_of_two_leaders_are_never_combined(seed):
     rng = random.Random(seed)
-    texts = {term: large_text(5 * long_texts.PART_LENGTH, term) for term in (4, 5)}
+    texts = {term: large_text(5 * long_texts.CHUNK_LENGTH, term) for term in (4, 5)}
     incoming = long_texts.IncomingSnapshot()
     completed = []
     for _ in range(300):
         term = rng.choice((4, 5)) if rng.random() < 0.1 else incoming.term or 4
         offset = 0 if term != incoming.term else incoming.received
         if rng.random() < 0.1:
-            offset = rng.randrange(5) * long_texts.PART_LENGTH
-        text = texts[term][offset : offset + long_texts.PART_LENGTH]
+            offset = rng.randrange(5) * long_texts.CHUNK_LENGTH
+        text = texts[term][offset : offset + long_texts.CHUNK_LENGTH]
         request = messages.SnapshotRequest(
             to="a",
             term=term,
@@ -161,7 +161,7 @@
     for _ in range(200):
         cluster.step()
         sizes_bytes += [len(json_codec.encode(each.body)) for each in cluster.network]
-    assert 1.5 * long_texts.PART_LENGTH > max(sizes_bytes) > long_texts.PART_LENGTH
+    assert 1.5 * long_texts.CHUNK_LENGTH > max(sizes_bytes) > long_texts.CHUNK_LENGTH
 
 
 def follower_with_partial_command():
@@ -173,7 +173,7 @@
         messages.Entry(1, messages.EntryKind.START),
         messages.Entry(1, messages.EntryKind.COMMAND, "x", continues=True),
     )
-    node.receive(append_request(0, 0, entries), 1.0)
+    node.handle_request(append_request(0, 0, entries), 1.0)
     node.take_committed()
     return node
 
@@ -210,10 +210,10 @@
         length=1,
         text="S",
     )
-    node.receive(request, 1.1)
+    node.handle_request(request, 1.1)
     assert node.take_installed().index == 5
     entry = messages.Entry(1, messages.EntryKind.COMMAND, "y")
-    node.receive(append_request(5, 1, (entry,)), 1.2)
+    node.handle_request(append_request(5, 1, (entry,)), 1.2)
     assert [(index, each.payload) for index, each in node.take_committed()] == [(6, "y")]
 
 
--- a/testing/core/replication/test_replica.py
+++ b/testing/core/replication/test_replica.py
@@ -109,7 +109,7 @@
     cluster = settled_cluster()
     (leader,) = cluster.leaders()
     later_s = cluster.now_s + cluster.timing.election_s
-    assert leader.running.authority_until_s(later_s) < later_s
+    assert leader.running.leader_lease_until_s(later_s) < later_s
 
 
 def test_a_learner_that_lacks_committed_entries_is_not_promoted():
@@ -173,8 +173,8 @@
     request = messages.VoteRequest(
         to="a", term=9, candidate="b", last_index=0, last_term=0, trial=False
     )
-    early = node.receive(request, 5.1).reply
-    late = node.receive(request, 6.0).reply
+    early = node.handle_request(request, 5.1).reply
+    late = node.handle_request(request, 6.0).reply
     assert isinstance(early, messages.VoteReply)
     assert isinstance(late, messages.VoteReply)
     assert (early.granted, late.granted) == (False, True)
@@ -185,7 +185,7 @@
     request = messages.AppendRequest(
         to="old", term=3, leader="x", previous_index=0, previous_term=0, entries=(), commit_index=0
     )
-    assert node.receive(request, 1.0) == state.Effects()
+    assert node.handle_request(request, 1.0) == state.Effects()
 
 
 def test_a_vote_survives_a_restart():
@@ -195,7 +195,7 @@
     request = messages.VoteRequest(
         to="a", term=4, candidate="c", last_index=0, last_term=0, trial=False
     )
-    reply = node.receive(request, 5.0).reply
+    reply = node.handle_request(request, 5.0).reply
     assert isinstance(reply, messages.VoteReply)
     assert not reply.granted
 
--- a/testing/core/replication/test_voting.py
+++ b/testing/core/replication/test_voting.py
@@ -25,10 +25,10 @@
 def start_election(node, now_s):
     """Win the pre-vote, so that the replica starts an election."""
     node.tick(now_s)
-    node.reply(
+    node.handle_reply(
         messages.VoteReply(voter="b", term=node.term, granted=True, trial=True), now_s, now_s
     )
-    node.reply(
+    node.handle_reply(
         messages.VoteReply(voter="c", term=node.term, granted=True, trial=True), now_s, now_s
     )
     assert node.role is state.Role.CANDIDATE
@@ -72,7 +72,7 @@
 
 def test_a_restarted_voter_without_leader_contact_votes_conditionally():
     node = make_replica(now_s=5.0)
-    reply = node.receive(vote_request(), 5.1).reply
+    reply = node.handle_request(vote_request(), 5.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, True)
 
@@ -82,8 +82,8 @@
     heartbeat = messages.AppendRequest(
         to="a", term=3, leader="c", previous_index=0, previous_term=0, entries=(), commit_index=0
     )
-    node.receive(heartbeat, 5.05)
-    reply = node.receive(vote_request(), 5.1).reply
+    node.handle_request(heartbeat, 5.05)
+    reply = node.handle_request(vote_request(), 5.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, False)
 
@@ -92,9 +92,9 @@
     node = make_replica()
     start_election(node, 3.0)
     granted = messages.VoteReply(voter="b", term=node.term, granted=True, trial=False)
-    node.reply(granted, 3.0, 3.0)
+    node.handle_reply(granted, 3.0, 3.0)
     assert node.role is state.Role.LEADER
-    reply = node.receive(vote_request(), 3.1).reply
+    reply = node.handle_request(vote_request(), 3.1).reply
     assert isinstance(reply, messages.VoteReply)
     assert (reply.granted, reply.if_all) == (False, False)
 
@@ -115,6 +115,6 @@
     first_term = node.term
     start_election(node, 6.0)
     late = messages.VoteReply(voter="b", term=first_term, granted=True, trial=False)
-    node.reply(late, 3.0, 6.0)
+    node.handle_reply(late, 3.0, 6.0)
     assert node.term == first_term + 1
     assert node.role is state.Role.CANDIDATE
--- a/testing/daemons/test_replicas.py
+++ b/testing/daemons/test_replicas.py
@@ -299,5 +299,5 @@
 
 def test_timing_lets_authority_end_before_another_can_be_elected():
     timing = state.Timing()
-    assert timing.drift < 1
-    assert timing.heartbeat_s < timing.election_s * timing.drift
+    assert timing.lease_fraction < 1
+    assert timing.heartbeat_s < timing.election_s * timing.lease_fraction
--- a/testing/storage/test_replica_store.py
+++ b/testing/storage/test_replica_store.py
@@ -93,10 +93,10 @@
 ):
     store.rewrite(state_of_size(base_bytes))
     store.write(messages.Write(1, "a", 2, (entry("x" * added_bytes),)))
-    assert store.has_outgrown(min_bytes=2000) is rewrite_due
+    assert store.needs_rewrite(min_bytes=2000) is rewrite_due
     reloaded = replica_store.ReplicaStore(tmp_path)
     reloaded.load(messages.Stored())
-    assert reloaded.has_outgrown(min_bytes=2000) is rewrite_due
+    assert reloaded.needs_rewrite(min_bytes=2000) is rewrite_due
     reloaded.close()
 
 
