--- a/src/croftpulley/bench/agreement.py
+++ b/src/croftpulley/bench/agreement.py
@@ -49,7 +49,7 @@
 _ADDRESS = "10.11.12.13:8080"
 
 
-class _Applied(agreement.Agreement):
+class _Applied(agreement.CommandLog):
     """Applies what is proposed at once, as if it were durable everywhere."""
 
     def __init__(self, routes: int) -> None:
@@ -84,12 +84,12 @@
         listed = tuple(_endpoint(number) for number in range(endpoints))
         step = max(1, endpoints // _LOADED_ENDPOINTS)
         self._load = {each.name: 2 for each in listed[::step]}
-        standing = replica_standing.Standing(
+        status = replica_standing.ReplicaStatus(
             states.Role.LEADER, term=1, leader_address=_ADDRESS, authority_until_s=_FAR_S
         )
         self._controller = sessions.SessionController(
             _Applied(routes),
-            actors.View(standing),
+            actors.View(status),
             actors.View(listing.Listing(versions.Versioned(listed), 0.0)),
             dict,
             lambda keys: None,
--- a/src/croftpulley/controllers/agreement.py
+++ b/src/croftpulley/controllers/agreement.py
@@ -23,7 +23,7 @@
 LOG_FILE = "commands.log"
 
 
-class Agreement(abc.ABC):
+class CommandLog(abc.ABC):
     """A command log and the state that results from applying it."""
 
     @abc.abstractmethod
@@ -91,7 +91,7 @@
         self._log.close()
 
 
-class SingleLog(Agreement):
+class SingleNodeLog(CommandLog):
     """The log of a fleet with a single control box: one file, synced at each write."""
 
     def __init__(
--- a/src/croftpulley/controllers/configuration_fetch.py
+++ b/src/croftpulley/controllers/configuration_fetch.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Fetched:
+class FetchedConfiguration:
     """A complete configuration; ``size_bytes`` is its compressed size."""
 
     version: int
@@ -45,7 +45,7 @@
         self._started_s = 0.0
         self._is_failing = False
 
-    def aim(self, version: int) -> None:
+    def set_target_version(self, version: int) -> None:
         """Set the version to download; ignored unless it is newer than the current one."""
         if version > self._assembler.version:
             self._started_s = self._clock.monotonic_s()
@@ -74,7 +74,7 @@
         self._followers_lag = False
         self._order_sources()
 
-    def step(self) -> Fetched | None:
+    def step(self) -> FetchedConfiguration | None:
         """Request the next part from one control box; return the configuration once complete."""
         request = self._assembler.request()
         if request is None or not self._sources:
@@ -113,11 +113,11 @@
         )
         return json_codec.decode(body, parts.ConfigurationPart)
 
-    def _finish(self, packed: bytes) -> Fetched:
+    def _finish(self, packed: bytes) -> FetchedConfiguration:
         self._is_failing = False
         took_s = self._clock.monotonic_s() - self._started_s
         document = packing.unpack(packed)
-        return Fetched(self._assembler.version, document, len(packed), took_s)
+        return FetchedConfiguration(self._assembler.version, document, len(packed), took_s)
 
     def _on_failure(
         self, address: str, request: parts.ConfigurationRequest, failure: errors.CroftpulleyError
--- a/src/croftpulley/controllers/configuration_parts.py
+++ b/src/croftpulley/controllers/configuration_parts.py
@@ -15,7 +15,7 @@
     The lock ensures that a version is compressed once, not once per concurrent request.
     """
 
-    def __init__(self, log: agreement.Agreement) -> None:
+    def __init__(self, log: agreement.CommandLog) -> None:
         self._command_log = log
         self._pack_lock = threading.Lock()
         self._packed: parts.PackedConfiguration | None = None
--- a/src/croftpulley/controllers/configured_pools.py
+++ b/src/croftpulley/controllers/configured_pools.py
@@ -17,14 +17,14 @@
 class ConfiguredPools:
     """Any thread may ask."""
 
-    def __init__(self, log: agreement.Agreement, document_format: formats.DocumentFormat) -> None:
-        self._agreement = log
+    def __init__(self, log: agreement.CommandLog, document_format: formats.DocumentFormat) -> None:
+        self._command_log = log
         self._format = document_format
         self._read = _Read()
 
     def pools(self) -> tuple[fleet.Pool, ...]:
         """Return the pools; none before the first configuration."""
-        held = self._agreement.read().submissions.held
+        held = self._command_log.read().submissions.held
         read = self._read
         if read.version != held.version:
             read = _Read(held.version, self._format.parse(held.document_json).pools)
--- a/src/croftpulley/controllers/control_plane.py
+++ b/src/croftpulley/controllers/control_plane.py
@@ -50,8 +50,8 @@
 
     def __init__(
         self,
-        log: agreement.Agreement,
-        replica_status: actors.View[replica_standing.Standing],
+        log: agreement.CommandLog,
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         session_controller: pykka.ActorRef[Any],
         register: suspect_register.SuspectRegister,
         document_format: formats.DocumentFormat,
@@ -166,7 +166,7 @@
     def _wait_in_force(self, target: box_sessions.AppliedVersions, deadline_s: float) -> None:
         """Wait until ``target`` is in force; raises NOT_LEADER, or NOT_IN_FORCE if too late."""
         done: pykka.Future[bool] = pykka.ThreadingFuture()
-        self._sessions.tell(in_force.WhenInForce(target, done))
+        self._sessions.tell(in_force.AwaitInForce(target, done))
         self._get_result(done, deadline_s)
 
     def _get_result(self, future: pykka.Future[Any], deadline_s: float) -> Any:
@@ -179,7 +179,7 @@
                 codes.ResultCode.NOT_IN_FORCE, run_state=codes.RunState.UNKNOWN
             ) from failure
 
-    def read(self) -> submissions.VersionedDocument:
+    def read_configuration(self) -> submissions.VersionedDocument:
         """Return the newest committed configuration; raises `NotLeaderError`."""
         return self._read_with_authority(lambda: self._command_log.read().submissions.held)
 
@@ -245,15 +245,15 @@
     def _require_authority(self) -> int:
         """Return the current term if this box has authority; raises `NotLeaderError` otherwise."""
         status = self._replica_status.get()
-        if not status.leads(self._clock.monotonic_s()):
+        if not status.has_authority(self._clock.monotonic_s()):
             is_led_elsewhere = status.role.value != "leader"
             raise NotLeaderError(status.leader_address if is_led_elsewhere else "")
         return status.term
 
-    def _is_leader_known(self, status: replica_standing.Standing) -> bool:
+    def _is_leader_known(self, status: replica_standing.ReplicaStatus) -> bool:
         """Return whether this box has authority or knows the address of another leader."""
         is_led_elsewhere = status.role is not states.Role.LEADER and status.leader_address
-        return status.leads(self._clock.monotonic_s()) or bool(is_led_elsewhere)
+        return status.has_authority(self._clock.monotonic_s()) or bool(is_led_elsewhere)
 
     def _emit(self, event: events.Event, number: int, **fields: Any) -> None:
         events.emit(_LOG, event, number=number, term=self._replica_status.get().term, **fields)
--- a/src/croftpulley/controllers/directory.py
+++ b/src/croftpulley/controllers/directory.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class WaitingFor:
+class FindLaggingBoxes:
     """Requests the names of live boxes that do not use configuration ``version`` yet."""
 
     version: int
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        log: agreement.Agreement,
+        log: agreement.CommandLog,
         lease_s: float,
         drift_margin_s: float,
         claim_window_s: float,
@@ -80,7 +80,7 @@
             case actors.Tick():
                 self._tick()
                 return None
-            case WaitingFor(version):
+            case FindLaggingBoxes(version):
                 return self._lagging_boxes(version)
             case Status():
                 versions = {
--- a/src/croftpulley/controllers/in_force.py
+++ b/src/croftpulley/controllers/in_force.py
@@ -12,24 +12,24 @@
 
 
 @attrs.frozen
-class WhenInForce:
+class AwaitInForce:
     """Requests that ``done`` is set once ``target`` is in force on every box with a lease."""
 
     target: sessions.AppliedVersions
     done: pykka.Future[bool]
 
 
-class Waiting:
+class InForceWaiters:
     """The pending requests at one leader; not thread-safe."""
 
     def __init__(self) -> None:
-        self._waiting: list[WhenInForce] = []
+        self._waiting: list[AwaitInForce] = []
 
-    def add(self, message: WhenInForce) -> None:
+    def add(self, message: AwaitInForce) -> None:
         """Add a pending request."""
         self._waiting.append(message)
 
-    def settle(self, is_in_force: Callable[[sessions.AppliedVersions], bool]) -> None:
+    def complete(self, is_in_force: Callable[[sessions.AppliedVersions], bool]) -> None:
         """Set the futures of the requests whose target is in force now."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
@@ -38,7 +38,7 @@
             else:
                 self._waiting.append(each)
 
-    def refuse(self) -> None:
+    def fail_all(self) -> None:
         """Fail all pending requests with NOT_LEADER."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
--- a/src/croftpulley/controllers/inventory.py
+++ b/src/croftpulley/controllers/inventory.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         reader: caches.CacheReader,
-        standing: actors.View[replica_standing.Standing],
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         listed: actors.View[listing.Listing],
         configured_pools: Callable[[], frozenset[str]],
         session_controller: pykka.ActorRef[Any],
@@ -46,7 +46,7 @@
     ) -> None:
         super().__init__()
         self._reader = reader
-        self._standing = standing
+        self._replica_status = replica_status
         self._listed = listed
         self._configured_pools = configured_pools
         self._sessions = session_controller
@@ -59,7 +59,11 @@
         now_s = self._clock.monotonic_s()
         self._done = self._done or now_s > self._young_until_s
         listed = self._listed.get()
-        if self._done or not self._standing.get().leads(now_s) or not listed.endpoints.value:
+        if (
+            self._done
+            or not self._replica_status.get().has_authority(now_s)
+            or not listed.endpoints.value
+        ):
             return
         pools = self._configured_pools()
         if not pools:
--- a/src/croftpulley/controllers/joining.py
+++ b/src/croftpulley/controllers/joining.py
@@ -8,7 +8,7 @@
 import attrs
 
 _RETRY_INTERVAL_S = 0.3
-LOST_AFTER_S = 2.0
+ISOLATED_AFTER_S = 2.0
 """A replica that has heard from no other for this long sends join requests to the addresses in its
 settings, since all those in its log may have been replaced. Elections finish within a second."""
 
@@ -30,7 +30,7 @@
 
         That is the leader if a box has named it in its last reply, else a random seed address.
         """
-        is_isolated = now_s - self.last_contact_s > LOST_AFTER_S
+        is_isolated = now_s - self.last_contact_s > ISOLATED_AFTER_S
         if now_s < self._next_attempt_s or not (must_join or is_isolated):
             return ""
         self._next_attempt_s = now_s + _RETRY_INTERVAL_S
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -163,7 +163,7 @@
         self._renew()
         self._begin_fetch()
 
-    def _use(self, fetched: configuration_fetch.Fetched) -> None:
+    def _use(self, fetched: configuration_fetch.FetchedConfiguration) -> None:
         """Publish a configuration made ready; an older one is never fetched."""
         configuration = attrs.evolve(self._format.parse(fetched.document), version=fetched.version)
         made = tables.LookupTables(configuration)
@@ -320,7 +320,7 @@
         # prompts to engines that do not hold them.
         taken = sum(len(parts) for parts in answer.notes.values())
         self._more_notes = taken >= places.MAX_NOTES_PER_RESPONSE
-        self._fetch.aim(answer.configuration_version)
+        self._fetch.set_target_version(answer.configuration_version)
         if answer.loads is not None:
             known = attrs.evolve(
                 known,
--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -47,7 +47,7 @@
 
     replica: str
     address: str
-    known_addresses: tuple[str, ...]
+    seed_addresses: tuple[str, ...]
     first_members: tuple[messages.Member, ...] = ()
 
 
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class UseAddresses:
+class SetSeedAddresses:
     """Replaces the addresses at which other control boxes can be contacted."""
 
     addresses: tuple[str, ...]
@@ -102,7 +102,7 @@
         timing: states.Timing,
         message_senders: senders.Senders,
         state: agreed.ReplicatedState,
-        view: actors.View[replica_standing.Standing],
+        view: actors.View[replica_standing.ReplicaStatus],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -119,7 +119,7 @@
         self._proposals = proposals.ProposalTracker()
         self._reload_at_s = float("-inf")
         self._join_schedule = joining.JoinSchedule(
-            identity.address, identity.known_addresses, last_contact_s=clock.monotonic_s()
+            identity.address, identity.seed_addresses, last_contact_s=clock.monotonic_s()
         )
         self._unresponsive: set[str] = set()
 
@@ -139,7 +139,7 @@
                 self._enqueue(message)
             case _Flush():
                 self._flush()
-            case UseAddresses(addresses):
+            case SetSeedAddresses(addresses):
                 self._join_schedule.seed_addresses = addresses
             case Receive(request):
                 self._join_schedule.last_contact_s = self._clock.monotonic_s()
@@ -188,7 +188,7 @@
         self._reload_at_s = self._clock.monotonic_s() + _DISK_RETRY_S
         # Publish the loss of leadership first: a proposer may check the status as soon as its
         # future fails.
-        self._view.publish(replica_standing.Standing())
+        self._view.publish(replica_standing.ReplicaStatus())
         self._proposals.fail_pending()
 
     # --- the replica --------------------------------------------------------------------------
@@ -394,7 +394,7 @@
     )
 
 
-class ReplicatedLog(agreement.Agreement):
+class ReplicatedLog(agreement.CommandLog):
     """The log that is replicated among several control boxes."""
 
     def __init__(self, controller: pykka.ActorRef[Any], state: agreed.ReplicatedState) -> None:
--- a/src/croftpulley/controllers/replica_standing.py
+++ b/src/croftpulley/controllers/replica_standing.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Standing:
+class ReplicaStatus:
     """A snapshot of the replica's state, published to other threads.
 
     ``authority_until_s`` is on this box's monotonic clock; until then no other box can become
@@ -31,7 +31,7 @@
     members: messages.Members = attrs.field(factory=messages.Members)
     silent_addresses: tuple[str, ...] = ()
 
-    def leads(self, now_s: float) -> bool:
+    def has_authority(self, now_s: float) -> bool:
         """Return whether this box is certain that no other one leads, so that it may answer."""
         return now_s < self.authority_until_s
 
@@ -41,10 +41,12 @@
         return tuple(member.address for member in self.members.members)
 
 
-def publish(view: actors.View[Standing], replica: replicas.Replica, now_s: float) -> Standing:
+def publish(
+    view: actors.View[ReplicaStatus], replica: replicas.Replica, now_s: float
+) -> ReplicaStatus:
     """Publish the replica's current status if it changed, log a role change, return the status."""
     previous = view.get()
-    status = Standing(
+    status = ReplicaStatus(
         role=replica.role,
         term=replica.term,
         leader_address=replica.leader_address(),
@@ -67,5 +69,5 @@
     return status
 
 
-def _role_and_leader(status: Standing) -> tuple[states.Role, int, str]:
+def _role_and_leader(status: ReplicaStatus) -> tuple[states.Role, int, str]:
     return status.role, status.term, status.leader_address
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -111,8 +111,8 @@
 
     def __init__(
         self,
-        log: agreement.Agreement,
-        standing: actors.View[replica_standing.Standing],
+        log: agreement.CommandLog,
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         endpoints: actors.View[listing.Listing],
         cold_per_s: Callable[[], Mapping[str, float]],
         tell_leaving: Callable[[tuple[str, ...]], None],
@@ -123,8 +123,8 @@
     ) -> None:
         super().__init__()
         self._kept_s = max(LEAST_KEPT_S, repeats_counted_s)
-        self._agreement = log
-        self._standing = standing
+        self._command_log = log
+        self._replica_status = replica_status
         self._endpoints = endpoints
         self._cold_per_s = cold_per_s
         self._tell_leaving = tell_leaving
@@ -134,7 +134,7 @@
         self._sessions = sessions.Sessions(lease_s, margin_s)
         self._leads_term = 0
         self._leads_from_s = float("-inf")
-        self._waiting = in_force.Waiting()
+        self._waiting = in_force.InForceWaiters()
         self._registering: set[str] = set()
         self._forgetting: set[str] = set()
         self._forget_at_s: dict[str, float] = {}
@@ -151,7 +151,7 @@
         match message:
             case box_messages.BoxReport():
                 return self._renew(message)
-            case in_force.WhenInForce():
+            case in_force.AwaitInForce():
                 self._waiting.add(message)
                 self._settle()
             case PostNotes(notes):
@@ -169,20 +169,20 @@
 
     def _leads(self) -> bool:
         """Tell whether this box may grant; begins anew where it has just come to lead."""
-        standing = self._standing.get()
+        status = self._replica_status.get()
         now_s = self._clock.monotonic_s()
-        if not standing.leads(now_s):
+        if not status.has_authority(now_s):
             return False
-        if standing.term != self._leads_term:
-            self._leads_term = standing.term
+        if status.term != self._leads_term:
+            self._leads_term = status.term
             self._registering.clear()
             self._forgetting.clear()
             self._forget_at_s.clear()
             # Another leader's numbers must not be taken for these.
-            self._bulletin = places.NoteLog(standing.term * _NOTES_A_TERM)
+            self._bulletin = places.NoteLog(status.term * _NOTES_A_TERM)
             self._leads_from_s = now_s
             self._allotments.begin(now_s)
-            self._sessions.begin(tuple(self._agreement.read().boxes), now_s)
+            self._sessions.begin(tuple(self._command_log.read().boxes), now_s)
         return True
 
     def _has_lost_the_lead(self) -> bool:
@@ -191,15 +191,15 @@
         A leader whose followers answer late has no authority for a moment, and then has it again.
         Who waits for a configuration to be in force may go on waiting through that.
         """
-        standing = self._standing.get()
-        leads = standing.role is states.Role.LEADER and standing.term == self._leads_term
+        status = self._replica_status.get()
+        leads = status.role is states.Role.LEADER and status.term == self._leads_term
         return not leads
 
     def _renew(self, report: box_messages.BoxReport) -> box_messages.BoxReportAnswer:
         if not self._leads():
             return self._elsewhere()
         self._versions.note(self._endpoints.get())
-        state = self._agreement.read()
+        state = self._command_log.read()
         if not self._is_registered(report.box, state):
             # The lease comes with the next renewal: the box must be known to any next leader
             # before it may act.
@@ -241,19 +241,19 @@
             return True
         if box.name not in self._registering:
             self._registering.add(box.name)
-            self._agreement.propose(agreed.RegisterBox(registered))
+            self._command_log.propose(agreed.RegisterBox(registered))
         return False
 
     def _elsewhere(self) -> box_messages.BoxReportAnswer:
-        standing = self._standing.get()
+        status = self._replica_status.get()
         return box_messages.BoxReportAnswer(
-            leader_address=standing.leader_address, control_addresses=standing.addresses
+            leader_address=status.leader_address, control_addresses=status.addresses
         )
 
     def _answer(
         self, report: box_messages.BoxReport, state: agreed.ReplicatedState
     ) -> box_messages.BoxReportAnswer:
-        standing = self._standing.get()
+        status = self._replica_status.get()
         listed = self._versions.agreed_part(self._endpoints.get())
         order = self._order.keys(listed)
         # Summed for each answer: the router takes off what it has just reported, so that must be in
@@ -266,9 +266,9 @@
             lease_s=self._lease_s,
             registered_boxes=len(state.boxes),
             kept_s=self._kept_s,
-            leader_address=standing.leader_address,
-            control_addresses=standing.addresses,
-            silent_addresses=standing.silent_addresses,
+            leader_address=status.leader_address,
+            control_addresses=status.addresses,
+            silent_addresses=status.silent_addresses,
             configuration_version=state.submissions.held.version,
             boxes_version=self._boxes.version,
             boxes=self._boxes.if_changed(report.boxes_version),
@@ -343,7 +343,7 @@
     def _tick(self) -> None:
         if not self._leads():
             if self._has_lost_the_lead():
-                self._waiting.refuse()
+                self._waiting.fail_all()
             return
         self._versions.note(self._endpoints.get())
         now_s = self._clock.monotonic_s()
@@ -362,7 +362,7 @@
     def _judge(self, now_s: float) -> None:
         """Hold off endpoints that fail more than their peers."""
         pools: dict[str, list[str]] = {}
-        evacuated = self._agreement.read().evacuated.names
+        evacuated = self._command_log.read().evacuated.names
         for each in self._endpoints.get().endpoints.value:
             if not each.leaving and each.hall not in evacuated:
                 pools.setdefault(each.pool, []).append(each.key)
@@ -386,20 +386,20 @@
             if now_s >= at_s:
                 del self._forget_at_s[box]
                 self._forgetting.add(box)
-                self._agreement.propose(agreed.ForgetBox(box))
+                self._command_log.propose(agreed.ForgetBox(box))
 
     def _settle(self) -> None:
         """Answer those who wait for what is in force now."""
         if not self._leads():
             return
         now_s = self._clock.monotonic_s()
-        self._waiting.settle(lambda wanted: not self._sessions.waiting_for(wanted, now_s))
+        self._waiting.complete(lambda wanted: not self._sessions.waiting_for(wanted, now_s))
 
     def _status(self) -> StatusAnswer:
         if not self._leads():
             return StatusAnswer((), ())
         now_s = self._clock.monotonic_s()
-        state = self._agreement.read()
+        state = self._command_log.read()
         newest = sessions.AppliedVersions(state.submissions.held.version, state.evacuated.revision)
         late = self._sessions.waiting_for(newest, now_s)
         return StatusAnswer(self._sessions.boxes(now_s), late)
--- a/src/croftpulley/controllers/suspect_register.py
+++ b/src/croftpulley/controllers/suspect_register.py
@@ -25,12 +25,12 @@
 
     def __init__(
         self,
-        log: agreement.Agreement,
-        standing: actors.View[replica_standing.Standing],
+        log: agreement.CommandLog,
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         clock: clocks.Clock,
     ) -> None:
-        self._agreement = log
-        self._standing = standing
+        self._command_log = log
+        self._replica_status = replica_status
         self._clock = clock
 
     def report(self, message: box_messages.SuspectReport) -> box_messages.SuspectReportAnswer:
@@ -58,7 +58,7 @@
     def _answer(self, request: box_messages.TrialRequest) -> suspect_messages.TrialAnswer | None:
         """Return the verdict; only a grant goes into the log, ``None`` if it is not known to."""
         now_wall_s = self._clock.wall_s()
-        known = self._agreement.read().suspects
+        known = self._command_log.read().suspects
         asker = request.asker
         answer = known.verdict(request.fingerprint, request.trial, now_wall_s, asker)
         if answer.verdict is not suspect_messages.Verdict.GRANTED:
@@ -66,7 +66,7 @@
         command = agreed.BeginTrial(
             request.fingerprint, request.trial, request.limit_s, now_wall_s, asker
         )
-        granted = _result(self._agreement.propose(command))
+        granted = _result(self._command_log.propose(command))
         return granted if isinstance(granted, suspect_messages.TrialAnswer) else None
 
     def all(self) -> tuple[suspect_rules.Suspect, ...]:
@@ -78,26 +78,26 @@
         """Forget what speaks against a request; raises NOT_LEADER if that may not be in the log."""
         report = suspect_messages.Report(cleared=(fingerprint,))
         command = agreed.ReportSuspects(report, self._clock.wall_s())
-        if _result(self._agreement.propose(command)) is None:
+        if _result(self._command_log.propose(command)) is None:
             raise errors.CroftpulleyError(
                 codes.ResultCode.NOT_LEADER, run_state=codes.RunState.UNKNOWN
             )
 
     def _bulletin(self) -> bulletins.PublishedSuspects:
-        return self._agreement.read().suspects.bulletin
+        return self._command_log.read().suspects.bulletin
 
     def _leads(self) -> bool:
-        return self._standing.get().leads(self._clock.monotonic_s())
+        return self._replica_status.get().has_authority(self._clock.monotonic_s())
 
     def _propose_report(
         self, report: suspect_messages.Report
     ) -> pykka.Future[agreed.Result] | None:
         """Propose what is not known yet: many boxes see the same part survive at one moment."""
-        known = self._agreement.read().suspects
+        known = self._command_log.read().suspects
         report = attrs.evolve(report, cleared=known.known(report.cleared))
         if report.is_empty:
             return None
-        return self._agreement.propose(agreed.ReportSuspects(report, self._clock.wall_s()))
+        return self._command_log.propose(agreed.ReportSuspects(report, self._clock.wall_s()))
 
 
 def _result(done: pykka.Future[agreed.Result]) -> Any:
--- a/src/croftpulley/controllers/version_notes.py
+++ b/src/croftpulley/controllers/version_notes.py
@@ -28,8 +28,8 @@
 class VersionNotes:
     """Used by the session controller alone."""
 
-    def __init__(self, log: agreement.Agreement, clock: clocks.Clock) -> None:
-        self._agreement = log
+    def __init__(self, log: agreement.CommandLog, clock: clocks.Clock) -> None:
+        self._command_log = log
         self._clock = clock
         self._proposed_at_s = float("-inf")
         nothing = listing.Listing()
@@ -45,7 +45,7 @@
             return
         self._proposed_at_s = now_s
         found = _versions_of(listed)
-        self._agreement.propose(agreed.NoteVersions(tuple(sorted(found)), self._clock.wall_s()))
+        self._command_log.propose(agreed.NoteVersions(tuple(sorted(found)), self._clock.wall_s()))
 
     def agreed_part(self, listed: listing.Listing) -> listing.Listing:
         """Return a list without endpoints whose version is not in the replicated state yet."""
@@ -56,7 +56,7 @@
         return self._known().mixed(self._clock.wall_s())
 
     def _known(self) -> pool_versions.PoolVersions:
-        return self._agreement.read().pool_versions
+        return self._command_log.read().pool_versions
 
     def _made(self, listed: listing.Listing) -> _Agreed:
         """Return what is made of a list; once for each list and state, not at each renewal."""
--- a/src/croftpulley/daemons/control.py
+++ b/src/croftpulley/daemons/control.py
@@ -30,9 +30,9 @@
         self._clock = clock or clocks.SystemClock()
         self._counters = metrics.Metrics()
         token = tokens.TokenCheck(settings.operator_token_file)
-        self._agreement = agreement.SingleLog(pathlib.Path(settings.data_folder))
+        self._command_log = agreement.SingleNodeLog(pathlib.Path(settings.data_folder))
         self._directory = directory.DirectoryController.start(
-            self._agreement,
+            self._command_log,
             settings.lease_s,
             settings.drift_margin_s,
             settings.claim_window_s,
@@ -47,8 +47,8 @@
             health_app.HealthApp(self._counters, lambda: "", dict),
             token,
             self.submit,
-            lambda: self._agreement.read().submissions,
-            lambda version: self._ask(directory.WaitingFor(version)),
+            lambda: self._command_log.read().submissions,
+            lambda version: self._ask(directory.FindLaggingBoxes(version)),
             lambda: self._ask(directory.Status()),
         )
         self._http = server.HttpServer(
@@ -84,7 +84,7 @@
         self._grpc.stop(_GRPC_STOP_S).wait()
         self._http.stop()
         self._directory.stop()
-        self._agreement.stop()
+        self._command_log.stop()
         events.emit(_LOG, events.Event.DAEMON_STOPPED)
 
     def renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
@@ -120,7 +120,7 @@
         return answer
 
     def _propose(self, command: agreed.Command) -> agreed.Result:
-        return self._agreement.propose(command).get(timeout=_TIMEOUT_S)
+        return self._command_log.propose(command).get(timeout=_TIMEOUT_S)
 
     def _ask(self, message: object) -> Any:
         answer = self._directory.ask(message, timeout=_TIMEOUT_S)
--- a/src/croftpulley/daemons/replica.py
+++ b/src/croftpulley/daemons/replica.py
@@ -51,20 +51,20 @@
 
     def __init__(
         self,
-        standing: actors.View[replica_standing.Standing],
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         listed: actors.View[listing.Listing],
         clock: clocks.Clock,
     ) -> None:
-        self._standing = standing
+        self._replica_status = replica_status
         self._listed = listed
         self._alone_at_s = clock.monotonic_s() + _UNLED_AFTER_S
 
     def has_come(self, now_s: float) -> bool:
         """Tell whether this box leads, or has never heard of a leader nor read the list."""
-        standing = self._standing.get()
-        if standing.leads(now_s):
+        status = self._replica_status.get()
+        if status.has_authority(now_s):
             return True
-        is_unled = not standing.leader_address and now_s >= self._alone_at_s
+        is_unled = not status.leader_address and now_s >= self._alone_at_s
         return is_unled and self._listed.get().read_at_s == float("-inf")
 
 
@@ -81,16 +81,18 @@
         self._interface = interface or operators.OwnOperatorInterface(settings.operator_token_file)
         self._clock = clock or clocks.SystemClock()
         self._counters = metrics.Metrics()
-        self._standing = actors.View(replica_standing.Standing())
+        self._replica_status = actors.View(replica_standing.ReplicaStatus())
         self._endpoints = actors.View(listing.Listing())
         self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
         self._replica = self._start_replica()
         self._log = replica.ReplicatedLog(self._replica, self._state)
-        self._suspects = suspect_register.SuspectRegister(self._log, self._standing, self._clock)
+        self._suspects = suspect_register.SuspectRegister(
+            self._log, self._replica_status, self._clock
+        )
         pools = configured_pools.ConfiguredPools(self._log, self._interface.documents)
         self._listing = listing.ListingController.start(
             self._interface.endpoint_list(settings.platform_address),
-            _WhileLeading(self._standing, self._endpoints, self._clock),
+            _WhileLeading(self._replica_status, self._endpoints, self._clock),
             self._endpoints,
             settings.platform_interval_s,
             self._clock,
@@ -98,7 +100,7 @@
         )
         self._sessions = sessions.SessionController.start(
             self._log,
-            self._standing,
+            self._replica_status,
             self._endpoints,
             pools.cold_per_s,
             lambda keys: self._listing.tell(listing.SaidLeaving(keys)),
@@ -109,7 +111,7 @@
         )
         self._inventory = inventory.InventoryController.start(
             self._interface.cache_reader(),
-            self._standing,
+            self._replica_status,
             self._endpoints,
             pools.names,
             self._sessions,
@@ -142,11 +144,11 @@
 
     def use_settings(self, settings: schema.ReplicaSettings) -> None:
         """Look for other control boxes at other addresses from now on."""
-        self._replica.tell(replica.UseAddresses(settings.seeds))
+        self._replica.tell(replica.SetSeedAddresses(settings.seeds))
 
-    def standing(self) -> replica_standing.Standing:
+    def replica_status(self) -> replica_standing.ReplicaStatus:
         """Return what the replica is at the moment."""
-        return self._standing.get()
+        return self._replica_status.get()
 
     def listed_at_s(self) -> float:
         """Return when this box last read the platform's list, ``-inf`` before the first time."""
@@ -154,7 +156,7 @@
 
     def leads(self) -> bool:
         """Tell whether this box alone may answer for the replicated state."""
-        return self.standing().leads(self._clock.monotonic_s())
+        return self.replica_status().has_authority(self._clock.monotonic_s())
 
     def stop(self) -> None:
         """Stop serving and close the log."""
@@ -177,7 +179,7 @@
             states.Timing(election_s=settings.election_s),
             senders.Senders(settings.peer_timeout_s, self._counters),
             self._state,
-            self._standing,
+            self._replica_status,
             self._clock,
             random.Random(uuid.uuid4().int),
         )
@@ -188,7 +190,7 @@
             self._sessions,
             configuration_parts.ConfigurationParts(self._log),
             self._suspects,
-            self._standing,
+            self._replica_status,
             self._counters,
         )
         address = self._settings.peer_listen_address or self._settings.peer_address
@@ -198,7 +200,7 @@
         settings = self._settings
         plane = control_plane.ControlPlane(
             self._log,
-            self._standing,
+            self._replica_status,
             self._sessions,
             self._suspects,
             self._interface.documents,
@@ -235,7 +237,7 @@
     return replica.Identity(
         replica=name,
         address=settings.peer_address,
-        known_addresses=settings.seeds,
+        seed_addresses=settings.seeds,
         first_members=first_members if is_first and began_first else (),
     )
 
--- a/src/croftpulley/http/replica_app.py
+++ b/src/croftpulley/http/replica_app.py
@@ -33,14 +33,14 @@
         session_controller: pykka.ActorRef[Any],
         configuration: configuration_parts.ConfigurationParts,
         register: suspect_register.SuspectRegister,
-        standing: actors.View[replica_standing.Standing],
+        replica_status: actors.View[replica_standing.ReplicaStatus],
         counters: metrics.Metrics,
     ) -> None:
         self._replica = replica_controller
         self._sessions = session_controller
         self._configuration = configuration
         self._register = register
-        self._standing = standing
+        self._replica_status = replica_status
         self._counters = counters
 
     def handle(self, request: wsgi.Request) -> wsgi.Response:
@@ -98,9 +98,9 @@
         return json_codec.encode(self._register.begin_trial(request))
 
     def _leader(self) -> bytes:
-        standing = self._standing.get()
+        status = self._replica_status.get()
         answer = box_messages.LeaderAnswer(
-            leader_address=standing.leader_address, control_addresses=standing.addresses
+            leader_address=status.leader_address, control_addresses=status.addresses
         )
         return json_codec.encode(answer)
 
--- a/src/croftpulley/interfaces/operators.py
+++ b/src/croftpulley/interfaces/operators.py
@@ -64,7 +64,7 @@
             if has_own_call(request):
                 return own_response(plane, request)
             callers.require(request, "GET", "/v1/config")
-            current = plane.read()
+            current = plane.read_configuration()
             document_json = orjson.loads(current.document_json)
             return wsgi.json_response({"version": current.version, "document": document_json})
 
--- a/src/croftpulley/platform/operators.py
+++ b/src/croftpulley/platform/operators.py
@@ -50,7 +50,7 @@
         version = plane.submit(documents.number(document_json), document_json)
         return wsgi.json_response({"version": version})
     callers.require(request, "GET", _READ_PATH)
-    current = plane.read()
+    current = plane.read_configuration()
     if not current.version:
         raise errors.CroftpulleyError(codes.ResultCode.NO_CONFIGURATION)
     return wsgi.Response(200, wsgi.JSON, current.document_json.encode())
--- a/testing/controllers/test_configuration_fetch.py
+++ b/testing/controllers/test_configuration_fetch.py
@@ -22,7 +22,7 @@
 LEADER = "a:1"
 
 
-class AppliedLog(agreement.Agreement):
+class AppliedLog(agreement.CommandLog):
     """A command log with one configuration applied."""
 
     def __init__(self, version, text=TEXT):
@@ -77,7 +77,7 @@
 
 def make_fetch(boxes, seed=1):
     made = configuration_fetch.ConfigurationFetch(boxes, clocks.ManualClock(), random.Random(seed))
-    made.aim(VERSION)
+    made.set_target_version(VERSION)
     made.begin_round((LEADER, *FOLLOWERS), LEADER)
     return made
 
@@ -174,7 +174,7 @@
         log.submit(VERSION + 1, "newer" + TEXT)
     fetched = run_round(fetch)
     assert (fetched.version, fetched.document) == (VERSION + 1, "newer" + TEXT)
-    fetch.aim(VERSION + 1)
+    fetch.set_target_version(VERSION + 1)
     assert not fetch.is_incomplete
 
 
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -20,12 +20,12 @@
 from croftpulley.settings import formats
 
 FAR_S = 1e9
-LEADER = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+LEADER = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
 NO_AUTHORITY = attrs.evolve(LEADER, authority_until_s=float("-inf"))
-FOLLOWER = replica_standing.Standing(states.Role.FOLLOWER, 1, "127.0.0.1:7")
+FOLLOWER = replica_standing.ReplicaStatus(states.Role.FOLLOWER, 1, "127.0.0.1:7")
 
 
-class FakeLog(agreement.Agreement):
+class FakeLog(agreement.CommandLog):
     """A command log; ``on_read`` is called before each read of its state."""
 
     def __init__(self):
@@ -84,7 +84,7 @@
 def test_configuration_is_read_only_after_authority_is_gained(plane, fake_log, view, call_waits):
     # The call arrives when the box has just started and applied nothing; then it becomes leader.
     answers = []
-    call = threading.Thread(target=lambda: answers.append(plane.read().version))
+    call = threading.Thread(target=lambda: answers.append(plane.read_configuration().version))
     call.start()
     assert call_waits.wait(20.0)
     fake_log.apply(3)
@@ -108,7 +108,7 @@
     """
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 0.0)
     fake_log.on_read = lambda: view.publish(LEADER)
-    for read in (plane.read, plane.suspects):
+    for read in (plane.read_configuration, plane.suspects):
         view.publish(before)
         with pytest.raises(control_plane.NotLeaderError):
             read()
@@ -117,12 +117,12 @@
 def test_follower_names_the_leader_immediately(plane, view):
     view.publish(FOLLOWER)
     with pytest.raises(control_plane.NotLeaderError) as failure:
-        plane.read()
+        plane.read_configuration()
     assert failure.value.leader_address == "127.0.0.1:7"
 
 
 def test_leader_without_authority_names_no_leader(plane, monkeypatch):
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 0.0)
     with pytest.raises(control_plane.NotLeaderError) as failure:
-        plane.read()
+        plane.read_configuration()
     assert failure.value.leader_address == ""
--- a/testing/controllers/test_inventory.py
+++ b/testing/controllers/test_inventory.py
@@ -69,7 +69,7 @@
 def told(reader):
     """Return what reached the sessions once all engines that answer were heard."""
     clock = clocks.ManualClock()
-    standing = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+    standing = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
     engines = (*(engine(number) for number in range(1, 41)), engine(99, "of another writer"))
     listed = listing.Listing(versions.Versioned(engines), clock.monotonic_s())
     kept = Sessions()
--- a/testing/controllers/test_joining.py
+++ b/testing/controllers/test_joining.py
@@ -17,12 +17,12 @@
 
 
 def test_replica_in_contact_with_others_sends_no_join_request(schedule):
-    assert next_address(schedule, joining.LOST_AFTER_S) == ""
+    assert next_address(schedule, joining.ISOLATED_AFTER_S) == ""
 
 
 def test_non_member_or_isolated_replica_asks_a_seed_other_than_itself(schedule):
     assert next_address(schedule, 0.0, must_join=True) == "a:1"
-    assert next_address(schedule, joining.LOST_AFTER_S + 0.1) == "a:1"
+    assert next_address(schedule, joining.ISOLATED_AFTER_S + 0.1) == "a:1"
 
 
 def test_leader_hint_is_used_for_the_next_request_only(schedule):
--- a/testing/controllers/test_replica_sight.py
+++ b/testing/controllers/test_replica_sight.py
@@ -30,10 +30,10 @@
 
     def make(members=MEMBERS[:1], counters=None, open_file=files.DiskFile):
         state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
-        view = actors.View(replica_standing.Standing())
+        view = actors.View(replica_standing.ReplicaStatus())
         controller = replica.ReplicaController.start(
             replica.Identity(
-                replica="a", address=UNREACHABLE, known_addresses=(), first_members=members
+                replica="a", address=UNREACHABLE, seed_addresses=(), first_members=members
             ),
             replica_store.ReplicaStore(tmp_path, open_file),
             states.Timing(election_s=0.05),
@@ -57,7 +57,7 @@
 
 
 def has_authority(view):
-    return view.get().leads(clocks.SystemClock().monotonic_s())
+    return view.get().has_authority(clocks.SystemClock().monotonic_s())
 
 
 def test_unanswered_request_is_logged_with_its_size_and_counted(start, caplog):
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -42,7 +42,7 @@
 FAR_S = 1e9
 
 
-class Log(agreement.Agreement):
+class Log(agreement.CommandLog):
     """A log that commits what is proposed a little later."""
 
     def __init__(self, fleet):
@@ -163,7 +163,9 @@
         self.after(self.chance.uniform(0, RENEW_S), box.renew)
 
     def new_leader(self):
-        standing = replica_standing.Standing(states.Role.LEADER, next(self.terms), "c:1", FAR_S)
+        standing = replica_standing.ReplicaStatus(
+            states.Role.LEADER, next(self.terms), "c:1", FAR_S
+        )
         self.leader = sessions.SessionController(
             self.log,
             actors.View(standing),
--- a/testing/controllers/test_sessions.py
+++ b/testing/controllers/test_sessions.py
@@ -22,11 +22,11 @@
 LEASE_S = 3.0
 MARGIN_S = 0.1
 KEPT_S = 12.0
-LEADS = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+LEADS = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
 NO_AUTHORITY = attrs.evolve(LEADS, authority_until_s=0.0)
 
 
-class Applied(agreement.Agreement):
+class Applied(agreement.CommandLog):
     """A state that knows the router."""
 
     def __init__(self, version):
@@ -127,7 +127,7 @@
 
 def waits_for(controller, version):
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(version), done))
+    controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(version), done))
     return done
 
 
@@ -158,7 +158,7 @@
     controller, clock = make_leader(version=5)
     controller.handle(report(configuration_version=5))
     newer = submissions.Submission("", 6, "{}")
-    controller._agreement.read().apply(agreed.SubmitConfiguration(newer))
+    controller._command_log.read().apply(agreed.SubmitConfiguration(newer))
     done = waits_for(controller, 6)
     for _ in range(10):
         clock.advance(1.0)
@@ -173,7 +173,7 @@
     view = actors.View(LEADS)
     controller, _ = make_leader(version=5, view=view)
     controller.handle(report(configuration_version=5))
-    controller._agreement.read().apply(
+    controller._command_log.read().apply(
         agreed.SubmitConfiguration(submissions.Submission("", 6, "{}"))
     )
     done = waits_for(controller, 6)
@@ -224,7 +224,7 @@
 
 def test_a_new_leader_tells_of_every_registered_box_though_it_has_heard_of_one(make_leader):
     controller, _ = make_leader()
-    controller._agreement.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
     answer = controller.handle(report())
     assert (len(answer.boxes), answer.registered_boxes, answer.kept_s) == (1, 2, KEPT_S)
 
@@ -241,10 +241,10 @@
     controller, clock = make_leader()
     controller.handle(report())
     after_silence(controller, clock, KEPT_S - 0.1)
-    assert controller._agreement.proposed == []
+    assert controller._command_log.proposed == []
     clock.advance(0.1)
     controller.handle(actors.Tick())
-    assert controller._agreement.proposed == [agreed.ForgetBox(BOX.name)]
+    assert controller._command_log.proposed == [agreed.ForgetBox(BOX.name)]
 
 
 def test_a_box_that_comes_back_as_it_is_forgotten_has_a_lease_once_it_is_registered(make_leader):
@@ -253,9 +253,9 @@
     controller.handle(report())
     after_silence(controller, clock, KEPT_S)
     assert controller.handle(report()).lease_s == 0.0
-    controller._agreement.commit()
+    controller._command_log.commit()
     assert controller.handle(report()).lease_s == 0.0
-    controller._agreement.commit()
+    controller._command_log.commit()
     answer = controller.handle(report())
     assert (answer.lease_s, answer.registered_boxes) == (LEASE_S, 1)
 
@@ -267,7 +267,7 @@
     renewal (0.25 s) after the others, and told their sum as that of all.
     """
     controller, _ = make_leader()
-    controller._agreement.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads is None
     theirs = attrs.evolve(report(), box=OTHER, in_flight={"e": 3})
     assert controller.handle(theirs).loads == (5,)
@@ -276,7 +276,7 @@
 
 def test_a_box_that_is_gone_keeps_loads_back_for_a_moment_only(make_leader):
     controller, clock = make_leader()
-    controller._agreement.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
     controller.handle(attrs.evolve(report(), in_flight={"e": 2}))
     clock.advance(sessions.LOADS_AWAITED_S)
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads == (2,)
@@ -285,9 +285,9 @@
 def test_an_evacuation_is_in_force_once_every_box_has_said_that_it_obeys(make_leader):
     controller, _ = make_leader()
     controller.handle(report())
-    controller._agreement.read().apply(agreed.EvacuateHall("hall-b"))
+    controller._command_log.read().apply(agreed.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(halls_revision=1), done))
+    controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     told = controller.handle(report()).evacuated
     assert (told.revision, told.names) == (1, ("hall-b",))
     assert not is_in_force(done)
@@ -298,9 +298,9 @@
 
 def test_an_evacuation_waits_for_the_lease_of_a_box_that_is_not_heard(make_leader):
     controller, clock = make_leader()
-    controller._agreement.read().apply(agreed.EvacuateHall("hall-b"))
+    controller._command_log.read().apply(agreed.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
-    controller.handle(in_force.WhenInForce(box_sessions.AppliedVersions(halls_revision=1), done))
+    controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     clock.advance(LEASE_S)
     controller.handle(actors.Tick())
     assert not is_in_force(done)
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -16,11 +16,11 @@
 
 FAR_S = 1e9
 NOTHING = suspect_messages.Report()
-LEADS = replica_standing.Standing(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+LEADS = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
 NO_AUTHORITY = attrs.evolve(LEADS, authority_until_s=0.0)
 
 
-class Log(agreement.Agreement):
+class Log(agreement.CommandLog):
     """Applies at once, or refuses."""
 
     def __init__(self):
--- a/testing/daemons/test_new_seeds.py
+++ b/testing/daemons/test_new_seeds.py
@@ -72,13 +72,15 @@
     lost, settings = start_replica(tmp_path, "lost", (NOBODY,))
     keep(lost)
     lost.use_settings(attrs.evolve(settings, seeds=tuple(site.peers)))
-    wait_until(lambda: lost.standing().leader_address == site.peers[0], "it follows the leader")
+    wait_until(
+        lambda: lost.replica_status().leader_address == site.peers[0], "it follows the leader"
+    )
 
 
 def test_a_control_box_whose_others_are_all_gone_joins_by_changed_seeds(
     site, keep, tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(joining, "LOST_AFTER_S", 0.3)
+    monkeypatch.setattr(joining, "ISOLATED_AFTER_S", 0.3)
     own = ReservedPort()
     # A set of three of which the others are never there.
     seeds = (own.address, "127.0.0.1:8", NOBODY)
@@ -86,11 +88,11 @@
         tmp_path, "lost", seeds, first_start=True, peer_address=own.address
     )
     keep(lost)
-    assert len(lost.standing().members.members) in (0, 3)
+    assert len(lost.replica_status().members.members) in (0, 3)
     lost.use_settings(attrs.evolve(settings, seeds=tuple(site.peers)))
     wait_until(
         lambda: any(
-            each.address == own.address for each in site.control[0].standing().members.members
+            each.address == own.address for each in site.control[0].replica_status().members.members
         ),
         "the leader of the new seeds takes it in",
     )
--- a/testing/daemons/test_replicas.py
+++ b/testing/daemons/test_replicas.py
@@ -181,7 +181,7 @@
         site.stop_control(follower)
         site.start_control(follower)
         daemon = site.control[follower]
-        wait_until(lambda: daemon.standing().leader_address, "it hears the leader")
+        wait_until(lambda: daemon.replica_status().leader_address, "it hears the leader")
         assert daemon.listed_at_s() == float("-inf")
 
     def test_a_router_without_a_list_says_to_come_back_soon(self, site):
@@ -231,8 +231,8 @@
 
 
 def is_voter(site, number):
-    standing = site.control[leader(site)].standing()
-    here = [each for each in standing.members.members if each.address == site.peers[number]]
+    status = site.control[leader(site)].replica_status()
+    here = [each for each in status.members.members if each.address == site.peers[number]]
     return any(each.voter and not each.replica.startswith("first-") for each in here)
 
 
--- a/testing/storage/test_record_log.py
+++ b/testing/storage/test_record_log.py
@@ -226,7 +226,7 @@
 
 def test_a_command_that_fails_on_a_full_disk_has_no_effect(tmp_path, monkeypatch):
     monkeypatch.setattr(FullDisk, "full", False)
-    log = agreement.SingleLog(tmp_path, FullDisk)
+    log = agreement.SingleNodeLog(tmp_path, FullDisk)
     log.propose(agreed.GrantOwnership("e", "a")).get()
     FullDisk.full = True
     with pytest.raises(OSError, match="no space"):
@@ -237,7 +237,7 @@
         log.propose(agreed.GrantOwnership("e", "c")).get()
     assert log.read().owners["e"].box == "a"
     log.stop()
-    reopened = agreement.SingleLog(tmp_path)
+    reopened = agreement.SingleNodeLog(tmp_path)
     assert reopened.read().owners["e"] == membership.Ownership("e", "a", 1)
     reopened.stop()
 
@@ -254,7 +254,7 @@
             super().sync()
             Watched.synced_after_last_append = True
 
-    log = agreement.SingleLog(tmp_path, Watched)
+    log = agreement.SingleNodeLog(tmp_path, Watched)
     for number in range(20):
         log.propose(agreed.GrantOwnership(f"e-{number}", "a")).get()
         assert Watched.synced_after_last_append
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -51,10 +51,10 @@
 
 
 def test_a_leader_has_no_authority_after_a_suspension(suspend, clock):
-    standing = replica_standing.Standing(authority_until_s=clock.monotonic_s() + 0.4)
-    assert standing.leads(clock.monotonic_s())
+    standing = replica_standing.ReplicaStatus(authority_until_s=clock.monotonic_s() + 0.4)
+    assert standing.has_authority(clock.monotonic_s())
     suspend()
-    assert not standing.leads(clock.monotonic_s())
+    assert not standing.has_authority(clock.monotonic_s())
 
 
 def test_a_router_uses_no_share_of_the_extra_after_a_suspension(suspend, clock):
