--- a/src/croftpulley/bench/agreement.py
+++ b/src/croftpulley/bench/agreement.py
@@ -24,7 +24,14 @@
     replica_standing,
     sessions,
 )
-from croftpulley.core import agreed, membership, parts, retry_budget, submissions, versions
+from croftpulley.core import (
+    configuration_transfer,
+    membership,
+    replicated_state,
+    retry_budget,
+    submissions,
+    versions,
+)
 from croftpulley.core.replication import messages
 from croftpulley.core.replication import state as states
 from croftpulley.storage import commands, replica_store
@@ -53,15 +60,15 @@
     """Applies what is proposed at once, as if it were durable everywhere."""
 
     def __init__(self, routes: int) -> None:
-        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        self._state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         self._state.submissions.submit(submissions.Submission("bench", 1, _document(routes)))
 
-    def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
-        result: pykka.Future[agreed.Result] = pykka.ThreadingFuture()
+    def propose(self, command: replicated_state.Command) -> pykka.Future[replicated_state.Result]:
+        result: pykka.Future[replicated_state.Result] = pykka.ThreadingFuture()
         result.set(self._state.apply(command))
         return result
 
-    def read(self) -> agreed.ReplicatedState:
+    def read(self) -> replicated_state.ReplicatedState:
         return self._state
 
 
@@ -158,22 +165,24 @@
 def fetch(routes: int) -> list[table.Row]:
     """Measure how one router fetches a configuration from a control box that has packed it."""
     served = configuration_parts.ConfigurationParts(_Applied(routes))
-    gathering = parts.ConfigurationDownload()
+    gathering = configuration_transfer.ConfigurationDownload()
     gathering.set_target(1)
     exchanged_bytes: list[int] = []
     # Packing and what the codec prepares once are not counted.
-    first = served.answer(parts.ConfigurationRequest(version=1, offset=0))
-    json_codec.decode(json_codec.encode(first), parts.ConfigurationPart)
-    json_codec.decode(json_codec.encode(gathering.request()), parts.ConfigurationRequest)
+    first = served.answer(configuration_transfer.ConfigurationRequest(version=1, offset=0))
+    json_codec.decode(json_codec.encode(first), configuration_transfer.ConfigurationPart)
+    json_codec.decode(
+        json_codec.encode(gathering.request()), configuration_transfer.ConfigurationRequest
+    )
     spent_s = 0.0
     while (request := gathering.request()) is not None:
         asked = json_codec.encode(request)
         began_s = time.process_time()
-        decoded = json_codec.decode(asked, parts.ConfigurationRequest)
+        decoded = json_codec.decode(asked, configuration_transfer.ConfigurationRequest)
         body = json_codec.encode(served.answer(decoded))
         spent_s += time.process_time() - began_s
         exchanged_bytes.append(len(asked) + len(body))
-        gathering.add_part(json_codec.decode(body, parts.ConfigurationPart))
+        gathering.add_part(json_codec.decode(body, configuration_transfer.ConfigurationPart))
     key = f"fetch_{routes}_routes"
     return [
         table.Row(f"{key}_parts", len(exchanged_bytes)),
@@ -192,14 +201,16 @@
         store = replica_store.ReplicaStore(pathlib.Path(folder))
         store.load(messages.Stored())
         for index in range(1, entries + 1):
-            command = agreed.SubmitConfiguration(submissions.Submission("bench", index, "{}"))
+            command = replicated_state.SubmitConfiguration(
+                submissions.Submission("bench", index, "{}")
+            )
             payload = commands.encode(command).decode()
             entry = messages.Entry(1, messages.EntryKind.COMMAND, payload, None)
             store.write(messages.Write(1, "bench", index, (entry,)))
         store.close()
         began_s = time.perf_counter()
         stored = store.load(messages.Stored())
-        state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         for entry in stored.entries:
             state.apply(commands.decode(entry.payload.encode()))
         spent_s = time.perf_counter() - began_s
--- a/src/croftpulley/bench/cold_starts.py
+++ b/src/croftpulley/bench/cold_starts.py
@@ -14,7 +14,7 @@
 import attrs
 
 from croftpulley.bench import table
-from croftpulley.core import choice, cold
+from croftpulley.core import rendezvous, send_quotas
 
 ROUTERS = (12, 92, 200, 790)
 TAKES_PER_S = 9.6
@@ -73,15 +73,15 @@
 
     def __init__(self) -> None:
         self._chosen: dict[str, bool] = {}
-        self._paces: dict[str, cold.SendLimiter] = {}
+        self._paces: dict[str, send_quotas.SendLimiter] = {}
 
     def renew(self, router: str, boxes: tuple[str, ...], now_s: float) -> None:
         """Take what a renewal tells."""
-        self._chosen[router] = router in choice.rendezvous_order("e", boxes)[: int(TAKES_PER_S)]
+        self._chosen[router] = router in rendezvous.rendezvous_order("e", boxes)[: int(TAKES_PER_S)]
 
     def may_send(self, router: str, now_s: float) -> bool:
         """Take one request if there is one."""
-        pace = self._paces.setdefault(router, cold.SendLimiter())
+        pace = self._paces.setdefault(router, send_quotas.SendLimiter())
         departure = pace.try_reserve("e", int(self._chosen.get(router, False)), now_s)
         if departure is not None:
             departure.sent_at_s = now_s
@@ -93,22 +93,22 @@
 
 
 class Allotted(Way):
-    """The leader allots parts that end by themselves (`cold.QuotaAllocator`)."""
+    """The leader allots parts that end by themselves (`send_quotas.QuotaAllocator`)."""
 
     def __init__(self) -> None:
-        self._leader = cold.QuotaAllocator()
+        self._leader = send_quotas.QuotaAllocator()
         self._told: dict[str, tuple[int, float]] = {}
-        self._paces: dict[str, cold.SendLimiter] = {}
+        self._paces: dict[str, send_quotas.SendLimiter] = {}
 
     def renew(self, router: str, boxes: tuple[str, ...], now_s: float) -> None:
         """Take what a renewal tells."""
         count = self._leader.renew_quota("e", TAKES_PER_S, router, boxes, now_s)
-        self._told[router] = (count, now_s + cold.QUOTA_TTL_S)
+        self._told[router] = (count, now_s + send_quotas.QUOTA_TTL_S)
 
     def may_send(self, router: str, now_s: float) -> bool:
         """Take one request if there is one."""
         count, until_s = self._told.get(router, (0, 0.0))
-        pace = self._paces.setdefault(router, cold.SendLimiter())
+        pace = self._paces.setdefault(router, send_quotas.SendLimiter())
         departure = pace.try_reserve("e", count, now_s) if now_s < until_s else None
         if departure is not None:
             departure.sent_at_s = now_s
@@ -117,7 +117,7 @@
     def restart(self, router: str, now_s: float) -> None:
         """Forget all of this router."""
         self._told.pop(router, None)
-        self._paces[router] = cold.SendLimiter.after_restart(now_s)
+        self._paces[router] = send_quotas.SendLimiter.after_restart(now_s)
 
 
 @attrs.define
@@ -185,7 +185,7 @@
     most = 0
     begin = 0
     for position, at_s in enumerate(sent_s):
-        while sent_s[begin] <= at_s - cold.WINDOW_S:
+        while sent_s[begin] <= at_s - send_quotas.WINDOW_S:
             begin += 1
         most = max(most, position - begin + 1)
     return most
--- a/src/croftpulley/bench/control.py
+++ b/src/croftpulley/bench/control.py
@@ -10,7 +10,7 @@
 
 from croftpulley import errors
 from croftpulley.bench import fleet_files, scrape, table
-from croftpulley.core import choice, membership
+from croftpulley.core import membership, rendezvous
 from croftpulley.observe import metrics
 from croftpulley.transport import channels, codec, control_client, messages
 
@@ -184,6 +184,8 @@
     )
     rounds = max(10, 20_000 // engines)
     spent_s = min(
-        timeit.repeat(lambda: choice.engines_for("chat", "llm", one_pool), number=rounds, repeat=5)
+        timeit.repeat(
+            lambda: rendezvous.engines_for("chat", "llm", one_pool), number=rounds, repeat=5
+        )
     )
     return table.Row(f"choice_{engines}_engines_us", round(spent_s / rounds * 1e6, 1))
--- a/src/croftpulley/bench/rests.py
+++ b/src/croftpulley/bench/rests.py
@@ -20,7 +20,7 @@
 import attrs
 
 from croftpulley.bench import table
-from croftpulley.core import retry_budget, returns, selection, window, withdrawal
+from croftpulley.core import retry_budget, retry_times, selection, window, withdrawal
 
 BOXES = (1, 12, 92)
 _ENDPOINTS = 6
@@ -125,7 +125,7 @@
 
     def told_s(self, opens_in_s: float, left_s: float, place: float) -> float:
         """Return when to come back."""
-        return returns.wait_s(opens_in_s, left_s, self.spread, place)
+        return retry_times.wait_s(opens_in_s, left_s, self.spread, place)
 
 
 @attrs.frozen
@@ -191,7 +191,9 @@
     Way(name="doubling", reopening=Doubling()),
     Way(name="window", reopening=Windowed()),
     Way(name="window_held", reopening=Windowed(), waiting=Held(longest_s=0.4)),
-    Way(name="window_spread", reopening=Windowed(), waiting=Refused(spread=returns.JITTER_SHARE)),
+    Way(
+        name="window_spread", reopening=Windowed(), waiting=Refused(spread=retry_times.JITTER_SHARE)
+    ),
 )
 """``window_spread`` is what routers do; the others differ from ``own`` in one thing each."""
 
@@ -366,7 +368,7 @@
     def _opens_in_s(self, box: _Box) -> float:
         ends_s = [each.until_s - self._now_s for each in box.said]
         # Those that take requests again, but have as many of this box as they may, open soon.
-        return max(returns.MIN_WAIT_S, min(ends_s))
+        return max(retry_times.MIN_WAIT_S, min(ends_s))
 
     def _depart(self, box: _Box, caller: _Caller, number: int, tried: frozenset[int]) -> None:
         box.sent[number] += 1
@@ -419,7 +421,7 @@
         elif box.budget.acquire(self._now_s, 1 / len(self._boxes)).is_granted:
             self._send(box, caller, tried)
         else:
-            self._refuse(caller, returns.MIN_WAIT_S)
+            self._refuse(caller, retry_times.MIN_WAIT_S)
 
     def _rest(self, box: _Box, number: int) -> None:
         """Take it that an endpoint has asked a box for rest."""
@@ -433,7 +435,7 @@
 
     def _told_s(self, box: _Box, caller: _Caller) -> float:
         """Return when a caller that is refused is told to come back."""
-        place = returns.queue_position(0 if caller.is_urgent else 9, self._chance.random())
+        place = retry_times.queue_position(0 if caller.is_urgent else 9, self._chance.random())
         left_s = caller.left_s(self._now_s)
         return self._way.waiting.told_s(self._opens_in_s(box), left_s, place)
 
--- a/src/croftpulley/controllers/agreement.py
+++ b/src/croftpulley/controllers/agreement.py
@@ -15,7 +15,7 @@
 import pykka
 
 from croftpulley.controllers import actors
-from croftpulley.core import agreed
+from croftpulley.core import replicated_state
 from croftpulley.observe import events
 from croftpulley.storage import commands, files, record_log
 
@@ -27,14 +27,14 @@
     """A command log and the state that results from applying it."""
 
     @abc.abstractmethod
-    def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
+    def propose(self, command: replicated_state.Command) -> pykka.Future[replicated_state.Result]:
         """Append a command; return a future of its result.
 
         The future raises if the command may not have been applied.
         """
 
     @abc.abstractmethod
-    def read(self) -> agreed.ReplicatedState:
+    def read(self) -> replicated_state.ReplicatedState:
         """Return the applied state.
 
         Callers must not modify it; it may change while they read it.
@@ -43,8 +43,8 @@
 
 @attrs.frozen
 class _Propose:
-    command: agreed.Command
-    result: pykka.Future[agreed.Result]
+    command: replicated_state.Command
+    result: pykka.Future[replicated_state.Result]
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
 class _LogController(actors.Controller):
     """Collects pending proposals and writes them with one sync (group commit)."""
 
-    def __init__(self, log: record_log.RecordLog, state: agreed.ReplicatedState) -> None:
+    def __init__(self, log: record_log.RecordLog, state: replicated_state.ReplicatedState) -> None:
         super().__init__()
         self._log = log
         self._state = state
@@ -101,19 +101,19 @@
     ) -> None:
         data_folder.mkdir(parents=True, exist_ok=True)
         log, replay = record_log.open_log(data_folder / LOG_FILE, open_file)
-        self._state = agreed.ReplicatedState()
+        self._state = replicated_state.ReplicatedState()
         for record in replay.payloads:
             self._state.apply(commands.decode(record))
         self._log_replay(replay)
         self._controller = _LogController.start(log, self._state)
 
-    def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
+    def propose(self, command: replicated_state.Command) -> pykka.Future[replicated_state.Result]:
         """Queue a command for the next write; return a future of its result."""
-        result: pykka.Future[agreed.Result] = pykka.ThreadingFuture()
+        result: pykka.Future[replicated_state.Result] = pykka.ThreadingFuture()
         self._controller.tell(_Propose(command, result))
         return result
 
-    def read(self) -> agreed.ReplicatedState:
+    def read(self) -> replicated_state.ReplicatedState:
         """Return the applied state."""
         return self._state
 
--- a/src/croftpulley/controllers/configuration_fetch.py
+++ b/src/croftpulley/controllers/configuration_fetch.py
@@ -13,7 +13,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley import errors
-from croftpulley.core import parts
+from croftpulley.core import configuration_transfer
 from croftpulley.observe import events
 from croftpulley.transport import box_messages, json_codec, links, packing
 
@@ -37,7 +37,7 @@
         self._links = control_links
         self._clock = clock
         self._rng = rng
-        self._assembler = parts.ConfigurationDownload()
+        self._assembler = configuration_transfer.ConfigurationDownload()
         self._addresses: tuple[str, ...] = ()
         self._leader_address = ""
         self._sources: list[str] = []
@@ -102,16 +102,18 @@
         return None
 
     def _order_sources(self) -> None:
-        ordered = parts.fetch_order(self._addresses, self._leader_address, self._rng)
+        ordered = configuration_transfer.fetch_order(
+            self._addresses, self._leader_address, self._rng
+        )
         self._sources = list(ordered)
 
     def _request_part(
-        self, address: str, request: parts.ConfigurationRequest
-    ) -> parts.ConfigurationPart:
+        self, address: str, request: configuration_transfer.ConfigurationRequest
+    ) -> configuration_transfer.ConfigurationPart:
         body = self._links.to(address).post(
             box_messages.CONFIGURATION_PARTS_PATH, json_codec.encode(request)
         )
-        return json_codec.decode(body, parts.ConfigurationPart)
+        return json_codec.decode(body, configuration_transfer.ConfigurationPart)
 
     def _finish(self, packed: bytes) -> FetchedConfiguration:
         self._is_failing = False
@@ -120,7 +122,10 @@
         return FetchedConfiguration(self._assembler.version, document, len(packed), took_s)
 
     def _on_failure(
-        self, address: str, request: parts.ConfigurationRequest, failure: errors.CroftpulleyError
+        self,
+        address: str,
+        request: configuration_transfer.ConfigurationRequest,
+        failure: errors.CroftpulleyError,
     ) -> None:
         """Log the first of consecutive failures."""
         if not self._is_failing:
--- a/src/croftpulley/controllers/configuration_parts.py
+++ b/src/croftpulley/controllers/configuration_parts.py
@@ -5,7 +5,7 @@
 import threading
 
 from croftpulley.controllers import agreement
-from croftpulley.core import parts, submissions
+from croftpulley.core import configuration_transfer, submissions
 from croftpulley.transport import packing
 
 
@@ -18,16 +18,20 @@
     def __init__(self, log: agreement.CommandLog) -> None:
         self._command_log = log
         self._pack_lock = threading.Lock()
-        self._packed: parts.PackedConfiguration | None = None
+        self._packed: configuration_transfer.PackedConfiguration | None = None
 
-    def answer(self, request: parts.ConfigurationRequest) -> parts.ConfigurationPart:
+    def answer(
+        self, request: configuration_transfer.ConfigurationRequest
+    ) -> configuration_transfer.ConfigurationPart:
         """Return the requested part; raises `errors.CroftpulleyError` (BAD_REQUEST)."""
         return self._pack(self._command_log.read().submissions.held).part_for(request)
 
-    def _pack(self, held: submissions.VersionedDocument) -> parts.PackedConfiguration:
+    def _pack(
+        self, held: submissions.VersionedDocument
+    ) -> configuration_transfer.PackedConfiguration:
         with self._pack_lock:
             if self._packed is None or self._packed.version != held.version:
-                self._packed = parts.PackedConfiguration.from_text(
+                self._packed = configuration_transfer.PackedConfiguration.from_text(
                     held.version, packing.pack(held.document_json)
                 )
             return self._packed
--- a/src/croftpulley/controllers/control_plane.py
+++ b/src/croftpulley/controllers/control_plane.py
@@ -19,7 +19,7 @@
     sessions,
     suspect_register,
 )
-from croftpulley.core import agreed, halls, submissions, suspect_rules
+from croftpulley.core import halls, replicated_state, submissions, suspect_rules
 from croftpulley.core import sessions as box_sessions
 from croftpulley.core.replication import state as states
 from croftpulley.observe import events
@@ -94,7 +94,9 @@
 
     def _commit(self, number: int, document_json: str, deadline_s: float) -> int:
         """Commit a configuration and return the resulting version, which may be a newer one."""
-        command = agreed.SubmitConfiguration(submissions.Submission("", number, document_json))
+        command = replicated_state.SubmitConfiguration(
+            submissions.Submission("", number, document_json)
+        )
         answer = self._get_result(self._command_log.propose(command), deadline_s)
         if not isinstance(answer, submissions.SubmissionAnswer):
             raise TypeError(f"unexpected result of a configuration submission: {answer!r}")
@@ -108,14 +110,14 @@
         Idempotent: a repeated call returns the same result. Raises HALL_UNKNOWN, `NotLeaderError`,
         NOT_LEADER with an unknown run state, or NOT_IN_FORCE if it may still come into force later.
         """
-        return self._commit_hall_command(agreed.EvacuateHall(hall))
+        return self._commit_hall_command(replicated_state.EvacuateHall(hall))
 
     def return_hall(self, hall: str) -> halls.EvacuatedHalls:
         """Commit that a hall's endpoints get requests again; raises as `evacuate` does."""
-        return self._commit_hall_command(agreed.ReturnHall(hall))
+        return self._commit_hall_command(replicated_state.ReturnHall(hall))
 
     def _commit_hall_command(
-        self, command: agreed.EvacuateHall | agreed.ReturnHall
+        self, command: replicated_state.EvacuateHall | replicated_state.ReturnHall
     ) -> halls.EvacuatedHalls:
         started_s = self._clock.monotonic_s()
         deadline_s = started_s + self._acknowledge_s
@@ -134,7 +136,7 @@
             _LOG,
             events.Event.HALLS_IN_FORCE,
             hall=command.hall,
-            evacuate=isinstance(command, agreed.EvacuateHall),
+            evacuate=isinstance(command, replicated_state.EvacuateHall),
             evacuated=list(evacuated.names),
             halls_revision=evacuated.revision,
             took_s=round(self._clock.monotonic_s() - started_s, 3),
--- a/src/croftpulley/controllers/directory.py
+++ b/src/croftpulley/controllers/directory.py
@@ -8,7 +8,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import actors, agreement
-from croftpulley.core import agreed, leases, membership, placement, pool_totals
+from croftpulley.core import leases, membership, placement, pool_totals, replicated_state
 from croftpulley.observe import events
 from croftpulley.transport import messages
 
@@ -92,7 +92,7 @@
     def _renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
         state = self._command_log.read()
         if state.boxes.get(renewal.box.name) != renewal.box:
-            self._commit(agreed.RegisterBox(renewal.box))
+            self._commit(replicated_state.RegisterBox(renewal.box))
         self._leases.renew(renewal.box.name, self._clock.monotonic_s())
         if self._store_report(renewal):
             self._assign_engines()
@@ -141,7 +141,7 @@
             events.emit(_LOG, events.Event.BOX_EXPIRED, expired_box=box)
             self._reports.pop(box, None)
             self._totals.replace(box, ())
-            self._commit(agreed.ForgetBox(box))
+            self._commit(replicated_state.ForgetBox(box))
         self._drop_expired_claims()
         self._assign_engines()
 
@@ -149,7 +149,7 @@
         before_wall_s = self._clock.wall_s() - self._claim_window_s
         oldest = self._command_log.read().claims.oldest_at_wall_s()
         if oldest is not None and oldest < before_wall_s:
-            self._commit(agreed.DropClaims(before_wall_s))
+            self._commit(replicated_state.DropClaims(before_wall_s))
 
     def _assign_engines(self) -> None:
         self._engines = self._listed_engines()
@@ -164,7 +164,7 @@
         for grant in placement.plan_grants(
             assignable, eligible_boxes, owners, self._reassignable_engines(state)
         ):
-            self._commit(agreed.GrantOwnership(grant.engine, grant.box))
+            self._commit(replicated_state.GrantOwnership(grant.engine, grant.box))
             events.emit(
                 _LOG,
                 events.Event.OWNERSHIP_GRANTED,
@@ -185,7 +185,7 @@
                     merged[engine.name] = engine
         return merged
 
-    def _reassignable_engines(self, state: agreed.ReplicatedState) -> frozenset[str]:
+    def _reassignable_engines(self, state: replicated_state.ReplicatedState) -> frozenset[str]:
         """Return the engines that their owner released or whose owner has no valid lease."""
         now_s = self._clock.monotonic_s()
         reassignable = set()
@@ -196,7 +196,7 @@
                 reassignable.add(engine)
         return frozenset(reassignable)
 
-    def _publish(self, state: agreed.ReplicatedState) -> None:
+    def _publish(self, state: replicated_state.ReplicatedState) -> None:
         boxes = [box for name, box in sorted(state.boxes.items()) if name in self._reports]
         owners = [
             owner for engine, owner in sorted(state.owners.items()) if engine in self._engines
@@ -223,5 +223,5 @@
             and (name not in self._reports or self._reports[name].configuration_version < version)
         )
 
-    def _commit(self, command: agreed.Command) -> agreed.Result:
+    def _commit(self, command: replicated_state.Command) -> replicated_state.Result:
         return self._command_log.propose(command).get(timeout=_COMMIT_TIMEOUT_S)
--- a/src/croftpulley/controllers/endpoints.py
+++ b/src/croftpulley/controllers/endpoints.py
@@ -9,7 +9,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import actors, gate, listing
-from croftpulley.core import listed, membership
+from croftpulley.core import incarnation_tracker, membership
 from croftpulley.endpoints import base, lists
 from croftpulley.observe import events, metrics
 
@@ -30,7 +30,7 @@
         self._platform = platform
         self._view = view
         self._clock = clock
-        self._listed = listed.IncarnationTracker()
+        self._listed = incarnation_tracker.IncarnationTracker()
         self._spoiled = listing.SpoiledEntries(counters)
         self._read_fails = False
         self._due_at_s = float("-inf")
--- a/src/croftpulley/controllers/inventory.py
+++ b/src/croftpulley/controllers/inventory.py
@@ -18,7 +18,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import actors, listing, replica_standing, sessions
-from croftpulley.core import membership, places
+from croftpulley.core import membership, prompt_part_index
 from croftpulley.endpoints import caches
 from croftpulley.observe import events
 
@@ -96,7 +96,9 @@
             return
         # The longest first: routers get them in this order, some at a time.
         longest = sorted(kept, key=lambda each: each.tokens, reverse=True)
-        parts = tuple(each.part for each in longest if each.tokens >= places.MIN_PART_TOKENS)
+        parts = tuple(
+            each.part for each in longest if each.tokens >= prompt_part_index.MIN_PART_TOKENS
+        )
         events.emit(
             _LOG, events.Event.CACHE_READ, engine=engine.key, parts=len(kept), told=len(parts)
         )
--- a/src/croftpulley/controllers/listing.py
+++ b/src/croftpulley/controllers/listing.py
@@ -14,7 +14,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import actors
-from croftpulley.core import listed, membership, versions
+from croftpulley.core import incarnation_tracker, membership, versions
 from croftpulley.endpoints import lists
 from croftpulley.observe import events, metrics
 
@@ -110,7 +110,7 @@
         self._interval_s = interval_s
         self._clock = clock
         self._spoiled = SpoiledEntries(counters)
-        self._listed = listed.IncarnationTracker()
+        self._listed = incarnation_tracker.IncarnationTracker()
         self._due_at_s = float("-inf")
         self._read_fails = False
 
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -13,7 +13,7 @@
 from croftpulley import cancel, codes, errors
 from croftpulley import clock as clocks
 from croftpulley.controllers import actors, router_state, traffic
-from croftpulley.core import membership, permits, returns, waiting_line
+from croftpulley.core import membership, permits, retry_times, waiting_line
 
 _POLL_S = 0.1
 """How often one that waits looks whether a renewal has brought more room."""
@@ -193,7 +193,7 @@
         if not pool.heard.capacity:
             # No endpoint may be asked: placing the request tells its caller why.
             return float("inf")
-        chance = returns.hash_fraction(f"{self._box_name}/{name}")
+        chance = retry_times.hash_fraction(f"{self._box_name}/{name}")
         return permits.round_permits(pool.heard.permit_share(now_s), chance)
 
     def _heard(
--- a/src/croftpulley/controllers/proposals.py
+++ b/src/croftpulley/controllers/proposals.py
@@ -8,15 +8,15 @@
 import pykka
 
 from croftpulley import codes, errors
-from croftpulley.core import agreed
+from croftpulley.core import replicated_state
 
 
 @attrs.frozen
 class Proposal:
     """A command to commit, and the future that receives its result."""
 
-    command: agreed.Command
-    result: pykka.Future[agreed.Result]
+    command: replicated_state.Command
+    result: pykka.Future[replicated_state.Result]
 
     def fail(
         self, run_state: codes.RunState, code: codes.ResultCode = codes.ResultCode.NOT_LEADER
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -19,17 +19,17 @@
     suspicion,
     traffic,
 )
+from croftpulley.core import incarnation_tracker as listed_endpoints
 from croftpulley.core import (
-    cold,
     leases,
     listed_counts,
     membership,
-    places,
+    prompt_part_index,
     retry_budget,
+    send_quotas,
     tables,
     versions,
 )
-from croftpulley.core import listed as listed_endpoints
 from croftpulley.observe import events, metrics
 from croftpulley.settings import formats
 from croftpulley.transport import box_messages, json_codec, links
@@ -319,7 +319,7 @@
         # A box that has just started gets its notes page by page; until it has them all it sends
         # prompts to engines that do not hold them.
         taken = sum(len(parts) for parts in answer.notes.values())
-        self._more_notes = taken >= places.MAX_NOTES_PER_RESPONSE
+        self._more_notes = taken >= prompt_part_index.MAX_NOTES_PER_RESPONSE
         self._fetch.set_target_version(answer.configuration_version)
         if answer.loads is not None:
             known = attrs.evolve(
@@ -370,7 +370,7 @@
         kept = state.without_old_returns(self._clock.monotonic_s())
         if answer.endpoints_version != self._stated.version:
             return kept
-        told = cold.decode_quotas(self._by_key(answer.cold, answer))
+        told = send_quotas.decode_quotas(self._by_key(answer.cold, answer))
         return attrs.evolve(kept, cold=told, cold_at_s=sent_at_s)
 
     def _by_key(
--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -17,8 +17,8 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, agreement, joining, proposals, replica_standing
-from croftpulley.core import agreed
-from croftpulley.core.replication import long_texts, messages
+from croftpulley.core import replicated_state
+from croftpulley.core.replication import command_chunks, messages
 from croftpulley.core.replication import replica as replicas
 from croftpulley.core.replication import state as states
 from croftpulley.observe import events
@@ -32,7 +32,7 @@
 SNAPSHOT_AFTER_BYTES = 2 * 1024 * 1024
 """The log file is compacted when more than either was added since the last compaction, or as much
 as the compacted file held if that is more. This keeps restarts short and fits on a small disk."""
-LARGE_REQUEST_BYTES = long_texts.CHUNK_LENGTH
+LARGE_REQUEST_BYTES = command_chunks.CHUNK_LENGTH
 """Every unanswered request of at least this size is logged, since its size may be the cause. Only
 requests that carry a whole part of a long text are this large."""
 _DISK_RETRY_S = 0.3
@@ -101,7 +101,7 @@
         store: replica_store.ReplicaStore,
         timing: states.Timing,
         message_senders: senders.Senders,
-        state: agreed.ReplicatedState,
+        state: replicated_state.ReplicatedState,
         view: actors.View[replica_standing.ReplicaStatus],
         clock: clocks.Clock,
         rng: random.Random,
@@ -397,11 +397,13 @@
 class ReplicatedLog(agreement.CommandLog):
     """The log that is replicated among several control boxes."""
 
-    def __init__(self, controller: pykka.ActorRef[Any], state: agreed.ReplicatedState) -> None:
+    def __init__(
+        self, controller: pykka.ActorRef[Any], state: replicated_state.ReplicatedState
+    ) -> None:
         self._controller = controller
         self._state = state
 
-    def propose(self, command: agreed.Command) -> pykka.Future[agreed.Result]:
+    def propose(self, command: replicated_state.Command) -> pykka.Future[replicated_state.Result]:
         """Queue a command; return a future of its result.
 
         The future raises `errors.CroftpulleyError`: NOT_LEADER if the command can't be committed
@@ -415,6 +417,6 @@
             proposal.fail(codes.RunState.NOT_RUN)
         return proposal.result
 
-    def read(self) -> agreed.ReplicatedState:
+    def read(self) -> replicated_state.ReplicatedState:
         """Return the state applied on this box, which may lag behind the leader's."""
         return self._state
--- a/src/croftpulley/controllers/router_state.py
+++ b/src/croftpulley/controllers/router_state.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from croftpulley.core import cold, halls, membership, tables
+from croftpulley.core import halls, membership, send_quotas, tables
 from croftpulley.settings import fleet
 
 SETTLED_S = 2.0
@@ -94,7 +94,7 @@
         returned_at_s = {
             hall: at_s
             for hall, at_s in self.returned_at_s.items()
-            if now_s < at_s + cold.RETURNED_HALL_COLD_S
+            if now_s < at_s + send_quotas.RETURNED_HALL_COLD_S
         }
         return attrs.evolve(self, returned_at_s=returned_at_s)
 
@@ -110,9 +110,9 @@
             return None
         told = self.cold.get(endpoint.key)
         if told is not None:
-            return told if now_s < self.cold_at_s + cold.QUOTA_TTL_S else 0
+            return told if now_s < self.cold_at_s + send_quotas.QUOTA_TTL_S else 0
         returned_at_s = self.returned_at_s.get(endpoint.hall, float("-inf"))
-        return 0 if now_s < returned_at_s + cold.RETURNED_HALL_COLD_S else None
+        return 0 if now_s < returned_at_s + send_quotas.RETURNED_HALL_COLD_S else None
 
     def is_settled(self, pool: str, now_s: float) -> bool:
         """Tell whether all endpoints of a pool have had one version for longer than streams last.
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -21,14 +21,14 @@
     version_notes,
 )
 from croftpulley.core import (
-    agreed,
-    answering,
-    cold,
     leases,
     listed_counts,
     membership,
-    outcomes,
-    places,
+    outlier_detection,
+    pool_responses,
+    prompt_part_index,
+    replicated_state,
+    send_quotas,
     sessions,
     versions,
 )
@@ -57,7 +57,7 @@
 class PostNotes:
     """Says which parts of prompts an engine keeps."""
 
-    notes: places.NotesByEngine
+    notes: prompt_part_index.NotesByEngine
 
 
 @attrs.frozen
@@ -128,7 +128,7 @@
         self._endpoints = endpoints
         self._cold_per_s = cold_per_s
         self._tell_leaving = tell_leaving
-        self._allotments = cold.QuotaAllocator()
+        self._allotments = send_quotas.QuotaAllocator()
         self._lease_s = lease_s
         self._clock = clock
         self._sessions = sessions.Sessions(lease_s, margin_s)
@@ -138,9 +138,9 @@
         self._registering: set[str] = set()
         self._forgetting: set[str] = set()
         self._forget_at_s: dict[str, float] = {}
-        self._bulletin = places.NoteLog()
-        self._outcomes = outcomes.OutlierDetector()
-        self._answering = answering.RecentPoolResponses()
+        self._bulletin = prompt_part_index.NoteLog()
+        self._outcomes = outlier_detection.OutlierDetector()
+        self._answering = pool_responses.RecentPoolResponses()
         self._unreached: dict[str, frozenset[str]] = {}
         self._order = _Order()
         self._versions = version_notes.VersionNotes(log, clock)
@@ -158,7 +158,7 @@
                 # Notes may be the first that is heard of a new leadership, which begins a bulletin
                 # of its own: posted to the old one they would be lost.
                 if self._leads():
-                    self._bulletin.append(places.iterate_notes(notes))
+                    self._bulletin.append(prompt_part_index.iterate_notes(notes))
             case actors.Tick():
                 self._tick()
             case Status():
@@ -179,7 +179,7 @@
             self._forgetting.clear()
             self._forget_at_s.clear()
             # Another leader's numbers must not be taken for these.
-            self._bulletin = places.NoteLog(status.term * _NOTES_A_TERM)
+            self._bulletin = prompt_part_index.NoteLog(status.term * _NOTES_A_TERM)
             self._leads_from_s = now_s
             self._allotments.begin(now_s)
             self._sessions.begin(tuple(self._command_log.read().boxes), now_s)
@@ -206,7 +206,7 @@
             return attrs.evolve(self._answer(report, state), lease_s=0.0)
         self._forget_at_s.pop(report.box.name, None)
         now_s = self._clock.monotonic_s()
-        self._bulletin.append(places.iterate_notes(report.notes))
+        self._bulletin.append(prompt_part_index.iterate_notes(report.notes))
         self._outcomes.add(report.outcomes, now_s)
         self._answering.note(report.box.name, report.answered, now_s)
         if report.leaving:
@@ -229,7 +229,7 @@
             self._settle()
         return self._answer(report, state)
 
-    def _is_registered(self, box: membership.Box, state: agreed.ReplicatedState) -> bool:
+    def _is_registered(self, box: membership.Box, state: replicated_state.ReplicatedState) -> bool:
         if box.name in self._forgetting and box.name in state.boxes:
             # What is about to leave the state must not be granted a lease meanwhile: no next
             # leader would know of it.
@@ -241,7 +241,7 @@
             return True
         if box.name not in self._registering:
             self._registering.add(box.name)
-            self._command_log.propose(agreed.RegisterBox(registered))
+            self._command_log.propose(replicated_state.RegisterBox(registered))
         return False
 
     def _elsewhere(self) -> box_messages.BoxReportAnswer:
@@ -251,7 +251,7 @@
         )
 
     def _answer(
-        self, report: box_messages.BoxReport, state: agreed.ReplicatedState
+        self, report: box_messages.BoxReport, state: replicated_state.ReplicatedState
     ) -> box_messages.BoxReportAnswer:
         status = self._replica_status.get()
         listed = self._versions.agreed_part(self._endpoints.get())
@@ -277,7 +277,7 @@
             loads=listed_counts.encode_counts(loads.in_flight, order) if are_whole else None,
             reading_tokens=listed_counts.encode_counts(loads.reading_tokens, order),
             cold=listed_counts.encode_counts(self._cold(report.box.name, listed), order),
-            notes=places.group_by_engine(notes),
+            notes=prompt_part_index.group_by_engine(notes),
             next_note=page.next_number,
             held_off=self._outcomes.held(self._clock.monotonic_s()),
             unreached={pool: len(names) for pool, names in self._unreached.items()},
@@ -300,7 +300,7 @@
             return {}
         takes_per_s = self._cold_per_s()
         boxes = tuple(each.name for each in self._boxes.value if not each.draining)
-        return cold.encode_quotas(
+        return send_quotas.encode_quotas(
             {
                 each.key: self._allotments.renew_quota(
                     each.key, takes_per_s[each.pool], box, boxes, now_s
@@ -386,7 +386,7 @@
             if now_s >= at_s:
                 del self._forget_at_s[box]
                 self._forgetting.add(box)
-                self._command_log.propose(agreed.ForgetBox(box))
+                self._command_log.propose(replicated_state.ForgetBox(box))
 
     def _settle(self) -> None:
         """Answer those who wait for what is in force now."""
--- a/src/croftpulley/controllers/suspect_register.py
+++ b/src/croftpulley/controllers/suspect_register.py
@@ -11,7 +11,7 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, agreement, replica_standing
-from croftpulley.core import agreed, bulletins, suspect_messages, suspect_rules
+from croftpulley.core import published_suspects, replicated_state, suspect_messages, suspect_rules
 from croftpulley.observe import events
 from croftpulley.transport import box_messages
 
@@ -63,7 +63,7 @@
         answer = known.verdict(request.fingerprint, request.trial, now_wall_s, asker)
         if answer.verdict is not suspect_messages.Verdict.GRANTED:
             return answer if self._leads() else None
-        command = agreed.BeginTrial(
+        command = replicated_state.BeginTrial(
             request.fingerprint, request.trial, request.limit_s, now_wall_s, asker
         )
         granted = _result(self._command_log.propose(command))
@@ -77,13 +77,13 @@
     def clear(self, fingerprint: str) -> None:
         """Forget what speaks against a request; raises NOT_LEADER if that may not be in the log."""
         report = suspect_messages.Report(cleared=(fingerprint,))
-        command = agreed.ReportSuspects(report, self._clock.wall_s())
+        command = replicated_state.ReportSuspects(report, self._clock.wall_s())
         if _result(self._command_log.propose(command)) is None:
             raise errors.CroftpulleyError(
                 codes.ResultCode.NOT_LEADER, run_state=codes.RunState.UNKNOWN
             )
 
-    def _bulletin(self) -> bulletins.PublishedSuspects:
+    def _bulletin(self) -> published_suspects.PublishedSuspects:
         return self._command_log.read().suspects.bulletin
 
     def _leads(self) -> bool:
@@ -91,16 +91,18 @@
 
     def _propose_report(
         self, report: suspect_messages.Report
-    ) -> pykka.Future[agreed.Result] | None:
+    ) -> pykka.Future[replicated_state.Result] | None:
         """Propose what is not known yet: many boxes see the same part survive at one moment."""
         known = self._command_log.read().suspects
         report = attrs.evolve(report, cleared=known.known(report.cleared))
         if report.is_empty:
             return None
-        return self._command_log.propose(agreed.ReportSuspects(report, self._clock.wall_s()))
+        return self._command_log.propose(
+            replicated_state.ReportSuspects(report, self._clock.wall_s())
+        )
 
 
-def _result(done: pykka.Future[agreed.Result]) -> Any:
+def _result(done: pykka.Future[replicated_state.Result]) -> Any:
     """Return a command's result, ``None`` if it is not known to be in the log."""
     try:
         return done.get(timeout=COMMIT_TIMEOUT_S)
--- a/src/croftpulley/controllers/suspicion.py
+++ b/src/croftpulley/controllers/suspicion.py
@@ -16,7 +16,7 @@
 from croftpulley import clock as clocks
 from croftpulley.core import (
     attempts,
-    doubts,
+    crash_candidates,
     fingerprints,
     membership,
     suspect_messages,
@@ -93,13 +93,13 @@
         self._clock = clock
         self._counters = counters
         self._lock = threading.Lock()
-        self._doubts = doubts.CrashCandidates()
+        self._doubts = crash_candidates.CrashCandidates()
         self._heard: dict[str, _Heard] = {}
         self._revision = 0
         self._crashes: dict[suspect_messages.Crash, None] = {}
         self._unreported: collections.Counter[str] = collections.Counter()
         """How many of these there are against each request or part."""
-        self._survivals = doubts.Survivals()
+        self._survivals = crash_candidates.Survivals()
         self._trial_ends: dict[suspect_messages.TrialEnd, None] = {}
         self._cleared: dict[str, None] = {}
         self._put_off_until_s: dict[str, float] = {}
@@ -186,7 +186,7 @@
     def begin(
         self,
         endpoint: membership.Endpoint,
-        request: doubts.RequestIdentity,
+        request: crash_candidates.RequestIdentity,
         attempt: attempts.Attempt,
     ) -> None:
         """Note that a request is about to be sent to an endpoint."""
@@ -196,25 +196,30 @@
     def end(
         self,
         endpoint: membership.Endpoint,
-        request: doubts.RequestIdentity,
+        request: crash_candidates.RequestIdentity,
         attempt: attempts.Attempt,
-        ending: doubts.Ending,
+        ending: crash_candidates.Ending,
     ) -> None:
         """Note how an attempt ended."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             self._doubts.end(endpoint.key, request, attempt, ending, now_s)
             is_known = self._doubts.has_ended(endpoint.key)
-            is_cleared = ending is doubts.Ending.SURVIVED and self._survived(request, now_s)
+            is_cleared = ending is crash_candidates.Ending.SURVIVED and self._survived(
+                request, now_s
+            )
         if is_cleared:
             self.on_news()
-        elif ending in (doubts.Ending.BROKE, doubts.Ending.CLOSED) and not is_known:
+        elif (
+            ending in (crash_candidates.Ending.BROKE, crash_candidates.Ending.CLOSED)
+            and not is_known
+        ):
             self.on_broke(endpoint)
 
     def writes(
         self,
         endpoint: membership.Endpoint,
-        request: doubts.RequestIdentity,
+        request: crash_candidates.RequestIdentity,
         attempt: attempts.Attempt,
     ) -> None:
         """Note that an answer has gone on for so long that no part of its prompt ends endpoints."""
@@ -296,14 +301,14 @@
                 suspect_messages.SuspectSummary(feature, 1, pools=(crash.pool,))
             )
 
-    def _survived(self, request: doubts.RequestIdentity, now_s: float) -> bool:
+    def _survived(self, request: crash_candidates.RequestIdentity, now_s: float) -> bool:
         """Take it that a request was answered whole; tell whether that clears anything."""
         is_cleared = self._speaks_against(request.fingerprint)
         if is_cleared:
             self._clear(request.fingerprint)
         return self._parts_survived(request, now_s) or is_cleared
 
-    def _parts_survived(self, request: doubts.RequestIdentity, now_s: float) -> bool:
+    def _parts_survived(self, request: crash_candidates.RequestIdentity, now_s: float) -> bool:
         if not request.parts:
             return False
         self._survivals.note(request.pool, request.parts, now_s)
@@ -351,7 +356,9 @@
         while len(self._crashes) > MOST_PENDING:
             self._drop_crash(next(iter(self._crashes)))
 
-    def _add_crashes(self, life: str, in_doubt: tuple[doubts.RequestIdentity, ...]) -> None:
+    def _add_crashes(
+        self, life: str, in_doubt: tuple[crash_candidates.RequestIdentity, ...]
+    ) -> None:
         if self._ends_by_itself(life):
             return
         since_s = self._clock.monotonic_s() - SURVIVED_S
@@ -363,7 +370,9 @@
             for feature in (each.fingerprint, *parts):
                 self._add_crash(suspect_messages.Crash(feature, each.workspace, life, each.pool))
 
-    def _announce(self, life: str, sign: str, in_doubt: tuple[doubts.RequestIdentity, ...]) -> None:
+    def _announce(
+        self, life: str, sign: str, in_doubt: tuple[crash_candidates.RequestIdentity, ...]
+    ) -> None:
         if not in_doubt:
             return
         self._counters.endpoint_ended(sign)
@@ -380,7 +389,7 @@
         self.on_news()
 
 
-def _parts(in_doubt: Iterable[doubts.RequestIdentity]) -> list[str]:
+def _parts(in_doubt: Iterable[crash_candidates.RequestIdentity]) -> list[str]:
     """Return the parts that may have ended an endpoint, each once."""
     return list(dict.fromkeys(part for each in in_doubt for part in each.parts))[:MOST_REPORTED]
 
--- a/src/croftpulley/controllers/traffic.py
+++ b/src/croftpulley/controllers/traffic.py
@@ -14,15 +14,15 @@
 from croftpulley.core import (
     brittle,
     calls,
-    cold,
     listed_counts,
+    load_reports,
     membership,
-    outcomes,
-    places,
+    outlier_detection,
+    prompt_part_index,
     records,
     retry_budget,
     selection,
-    told_load,
+    send_quotas,
     withdrawal,
 )
 
@@ -51,7 +51,7 @@
         self._records = records.Records()
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
         self._extra_share = retry_budget.ExtraShare()
-        self._pace = cold.SendLimiter.after_restart(clock.monotonic_s())
+        self._pace = send_quotas.SendLimiter.after_restart(clock.monotonic_s())
         self._heard = heard_loads.HeardLoads()
         self._shares_room = shares_room
         self._brittle = brittle.BrittleEndpoints()
@@ -93,7 +93,7 @@
         with self._lock:
             self._records.update(engine, count)
             for part in facts.shared_prefix:
-                self._records.note_own(places.Note(part.part_id, engine), now_s)
+                self._records.note_own(prompt_part_index.Note(part.part_id, engine), now_s)
 
     def end_reading(self, engine: str, tokens: int) -> None:
         """Count out tokens that were read, or are read no more."""
@@ -116,21 +116,21 @@
                     held[engine] = tokens
         return held
 
-    def take_notes(self) -> places.NotesByEngine:
+    def take_notes(self) -> prompt_part_index.NotesByEngine:
         """Return the notes made since the last call."""
         with self._lock:
             return self._records.take_notes()
 
-    def give_back_notes(self, notes: places.NotesByEngine) -> None:
+    def give_back_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
         """Take back notes that reached nobody; they go out with the next report."""
         with self._lock:
             self._records.requeue_notes(notes)
 
-    def learn_notes(self, notes: places.NotesByEngine) -> None:
+    def learn_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
         """Take the notes of other boxes, and one's own once more."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            for note in places.iterate_notes(notes):
+            for note in prompt_part_index.iterate_notes(notes):
                 self._records.note(note, now_s)
 
     def candidates(
@@ -228,7 +228,7 @@
         with self._lock:
             return self._records.apply_notice(endpoint, notice, now_s)
 
-    def hear_load(self, endpoint: str, told: told_load.ReportedLoad) -> None:
+    def hear_load(self, endpoint: str, told: load_reports.ReportedLoad) -> None:
         """Take what an endpoint tells of its load in an answer whose head has just been read."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -328,7 +328,7 @@
         with self._lock:
             return self._records.withdrawn(now_s)
 
-    def take_outcomes(self) -> outcomes.Counts:
+    def take_outcomes(self) -> outlier_detection.Counts:
         """Return how requests ended since the last call, well and badly, by endpoint."""
         with self._lock:
             return self._records.take_outcomes()
@@ -348,12 +348,12 @@
         with self._lock:
             return self._pace.may_send(endpoint, a_second, self._clock.monotonic_s())
 
-    def take_cold(self, endpoint: str, a_second: int) -> cold.SendRecord | None:
+    def take_cold(self, endpoint: str, a_second: int) -> send_quotas.SendRecord | None:
         """Count a request towards a cold endpoint's pace, if it may have one more."""
         with self._lock:
             return self._pace.try_reserve(endpoint, a_second, self._clock.monotonic_s())
 
-    def cold_leaves(self, departure: cold.SendRecord) -> None:
+    def cold_leaves(self, departure: send_quotas.SendRecord) -> None:
         """Have a request to a cold endpoint count from now on: its bytes leave, or never will."""
         with self._lock:
             departure.sent_at_s = self._clock.monotonic_s()
--- a/src/croftpulley/controllers/version_notes.py
+++ b/src/croftpulley/controllers/version_notes.py
@@ -6,7 +6,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import agreement, listing
-from croftpulley.core import agreed, membership, pool_versions, versions
+from croftpulley.core import membership, pool_versions, replicated_state, versions
 
 PROPOSED_AGAIN_S = 0.5
 """After so long without a result what is listed is proposed again."""
@@ -45,7 +45,9 @@
             return
         self._proposed_at_s = now_s
         found = _versions_of(listed)
-        self._command_log.propose(agreed.NoteVersions(tuple(sorted(found)), self._clock.wall_s()))
+        self._command_log.propose(
+            replicated_state.NoteVersions(tuple(sorted(found)), self._clock.wall_s())
+        )
 
     def agreed_part(self, listed: listing.Listing) -> listing.Listing:
         """Return a list without endpoints whose version is not in the replicated state yet."""
--- a/src/croftpulley/core/peers.py
+++ b/src/croftpulley/core/peers.py
@@ -10,7 +10,7 @@
 import attrs
 import xxhash
 
-from croftpulley.core import choice, membership, origins
+from croftpulley.core import membership, origins, rendezvous
 
 SLOT_COUNT = 256
 """Number of slots that streams are hashed into. An order of boxes is computed once for each slot
@@ -77,7 +77,7 @@
             for each in reaching
             if each.name != self.box and each.peer_address and not each.draining
         }
-        ordered = [others[name] for name in choice.rendezvous_order(request_id, list(others))]
+        ordered = [others[name] for name in rendezvous.rendezvous_order(request_id, list(others))]
         ordered[:2] = sorted(ordered[:2], key=lambda each: each.hall != self.hall)
         return sorted(ordered, key=lambda each: self._avoided.has_failed_recently(each.name, now_s))
 
@@ -139,7 +139,7 @@
             for each in boxes
             if each.name != self._box and each.peer_address and not each.draining
         }
-        ordered = [others[name] for name in choice.rendezvous_order(f"streams-{slot}", others)]
+        ordered = [others[name] for name in rendezvous.rendezvous_order(f"streams-{slot}", others)]
         first = ordered[:1]
         elsewhere = [each for each in ordered if each.hall != first[0].hall][: ORIGIN_COPIES - 1]
         rest = [each for each in ordered[1:] if each not in elsewhere]
--- a/src/croftpulley/core/placement.py
+++ b/src/croftpulley/core/placement.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from croftpulley.core import choice, membership
+from croftpulley.core import membership, rendezvous
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
 def _least_loaded(engine: str, counts: dict[str, int]) -> str:
     """Return the box with the fewest engines; the engine's rendezvous order breaks ties."""
     fewest = min(counts.values())
-    return choice.rendezvous_order(
+    return rendezvous.rendezvous_order(
         engine, [box for box, count in counts.items() if count == fewest]
     )[0]
 
--- a/src/croftpulley/core/records.py
+++ b/src/croftpulley/core/records.py
@@ -12,7 +12,14 @@
 
 import attrs
 
-from croftpulley.core import outcomes, places, told_load, trust, window, withdrawal
+from croftpulley.core import (
+    failure_backoff,
+    load_reports,
+    outlier_detection,
+    prompt_part_index,
+    window,
+    withdrawal,
+)
 
 
 @attrs.define
@@ -23,17 +30,20 @@
 
     in_flight: int = 0
     reading_tokens: int = 0
-    backoff: trust.FailureBackoff = attrs.field(factory=trust.FailureBackoff)
+    backoff: failure_backoff.FailureBackoff = attrs.field(factory=failure_backoff.FailureBackoff)
     succeeded: int = 0
     failed: int = 0
     withdrawal: withdrawal.Withdrawal = attrs.field(factory=withdrawal.Withdrawal)
     window: window.CongestionWindow = attrs.field(factory=window.CongestionWindow)
-    reported_load: told_load.ReportedLoad | None = None
+    reported_load: load_reports.ReportedLoad | None = None
     reported_load_at_s: float = float("-inf")
 
     def reported_requests(self, now_s: float) -> int:
         """Return the endpoint's reported number of requests, 0 without a fresh report."""
-        if self.reported_load is None or now_s >= self.reported_load_at_s + told_load.REPORT_TTL_S:
+        if (
+            self.reported_load is None
+            or now_s >= self.reported_load_at_s + load_reports.REPORT_TTL_S
+        ):
             return 0
         return self.reported_load.request_count
 
@@ -60,13 +70,15 @@
     >>> records.update("w@1", lambda record: record.backoff.failed(0.0))
     >>> records.update_listed({"w@2"}, 1.0)
     >>> records.update("w@1", lambda record: record.backoff.failed(9.0))
-    >>> records.get("w@1") is None, records.note(places.Note("part", "w@1"), 9.0)
+    >>> records.get("w@1") is None, records.note(prompt_part_index.Note("part", "w@1"), 9.0)
     (True, False)
     """
 
     _records: dict[str, Record] = attrs.field(factory=dict)
-    _places: places.PromptPartIndex = attrs.field(factory=places.PromptPartIndex)
-    _new_notes: list[places.Note] = attrs.field(factory=list)
+    _places: prompt_part_index.PromptPartIndex = attrs.field(
+        factory=prompt_part_index.PromptPartIndex
+    )
+    _new_notes: list[prompt_part_index.Note] = attrs.field(factory=list)
     _listed: frozenset[str] | None = None
 
     def update_listed(self, listed: Iterable[str], now_s: float) -> None:
@@ -116,7 +128,7 @@
         told = self._records.items()
         return {key: each.reading_tokens for key, each in told if each.reading_tokens}
 
-    def take_outcomes(self) -> outcomes.Counts:
+    def take_outcomes(self) -> outlier_detection.Counts:
         """Return the succeeded and failed requests since the last call, and reset them."""
         taken: dict[str, tuple[int, int]] = {}
         for key, record in list(self._records.items()):
@@ -137,7 +149,7 @@
             record.window.turned_away(record.in_flight, now_s)
         return record.withdrawal.apply(notice, now_s)
 
-    def store_load_report(self, key: str, report: told_load.ReportedLoad, now_s: float) -> None:
+    def store_load_report(self, key: str, report: load_reports.ReportedLoad, now_s: float) -> None:
         """Store the load that a listed endpoint reports."""
         if self.may_be_listed(key):
             record = self._records.setdefault(key, Record())
@@ -155,7 +167,7 @@
         expired = []
         for key, record in list(self._records.items()):
             record.window.forget(now_s)
-            if now_s >= record.reported_load_at_s + told_load.REPORT_TTL_S:
+            if now_s >= record.reported_load_at_s + load_reports.REPORT_TTL_S:
                 record.reported_load = None
             ended = record.withdrawal.end_rest(now_s)
             if ended is not None:
@@ -182,23 +194,27 @@
         """Return the keys of endpoints that announced their shutdown."""
         return {key for key, each in self._records.items() if each.withdrawal.leaves}
 
-    def note(self, note: places.Note, now_s: float) -> bool:
+    def note(self, note: prompt_part_index.Note, now_s: float) -> bool:
         """Store where a prompt part is cached; return whether other boxes should learn of it."""
         return self.may_be_listed(note.engine) and self._places.record(note, now_s)
 
-    def note_own(self, note: places.Note, now_s: float) -> None:
+    def note_own(self, note: prompt_part_index.Note, now_s: float) -> None:
         """Store a note of this box, and queue it for the other boxes if it is new."""
         if self.note(note, now_s):
             self._new_notes.append(note)
 
-    def take_notes(self) -> places.NotesByEngine:
+    def take_notes(self) -> prompt_part_index.NotesByEngine:
         """Return and clear the queued notes."""
         taken, self._new_notes = self._new_notes, []
-        return places.group_by_engine(taken)
+        return prompt_part_index.group_by_engine(taken)
 
-    def requeue_notes(self, notes: places.NotesByEngine) -> None:
+    def requeue_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
         """Queue undelivered notes again, without those of unlisted incarnations."""
-        returned = [note for note in places.iterate_notes(notes) if self.may_be_listed(note.engine)]
+        returned = [
+            note
+            for note in prompt_part_index.iterate_notes(notes)
+            if self.may_be_listed(note.engine)
+        ]
         self._new_notes = [*returned, *self._new_notes]
 
     def holders(self, part: str, now_s: float) -> list[str]:
--- a/src/croftpulley/core/replication/applying.py
+++ b/src/croftpulley/core/replication/applying.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from croftpulley.core.replication import long_texts, messages
+from croftpulley.core.replication import command_chunks, messages
 from croftpulley.core.replication import state as states
 
 
@@ -12,7 +12,7 @@
     def __init__(self, state: states.State) -> None:
         self._state = state
         self._delivered_index = state.log.snapshot.index
-        self._assembler = long_texts.CommandAssembler()
+        self._assembler = command_chunks.CommandAssembler()
         self._installed: messages.Snapshot | None = None
         self.applied_index = state.log.snapshot.index
         """Index of the last delivered entry that leaves no command incomplete."""
--- a/src/croftpulley/core/replication/following.py
+++ b/src/croftpulley/core/replication/following.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from croftpulley.core.replication import applying, long_texts, messages
+from croftpulley.core.replication import applying, command_chunks, messages
 from croftpulley.core.replication import state as states
 
 
@@ -12,7 +12,7 @@
     def __init__(self, state: states.State, applier: applying.Applier) -> None:
         self._state = state
         self._applier = applier
-        self._incoming = long_texts.IncomingSnapshot()
+        self._incoming = command_chunks.IncomingSnapshot()
 
     def _accept_leader(self, term: int, leader: str, now_s: float) -> bool:
         """Follow the leader of ``term``; return whether the term is newer than this replica's.
--- a/src/croftpulley/core/replication/leading.py
+++ b/src/croftpulley/core/replication/leading.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from croftpulley.core.replication import long_texts, membership, messages, progress
+from croftpulley.core.replication import command_chunks, membership, messages, progress
 from croftpulley.core.replication import state as states
 
 EXTRA_LOG_FACTOR_DURING_SNAPSHOT = 4
@@ -132,7 +132,7 @@
         return effects, tuple(indexes)
 
     def _command_entries(self, payload: str) -> list[messages.Entry]:
-        *before, last = long_texts.split(payload)
+        *before, last = command_chunks.split(payload)
         kind = messages.EntryKind.COMMAND
         entries = [
             messages.Entry(self._state.term, kind, chunk, continues=True) for chunk in before
@@ -229,12 +229,12 @@
             leader=self._state.id,
             previous_index=previous_index,
             previous_term=previous_term,
-            entries=self._state.log.entries_from(peer.next_index, long_texts.CHUNK_LENGTH),
+            entries=self._state.log.entries_from(peer.next_index, command_chunks.CHUNK_LENGTH),
             commit_index=self._state.commit_index,
         )
 
     def _snapshot_request(
-        self, replica: str, outgoing: long_texts.OutgoingSnapshot
+        self, replica: str, outgoing: command_chunks.OutgoingSnapshot
     ) -> messages.SnapshotRequest:
         snapshot = outgoing.snapshot
         return messages.SnapshotRequest(
--- a/src/croftpulley/core/replication/progress.py
+++ b/src/croftpulley/core/replication/progress.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from croftpulley.core.replication import long_texts, messages
+from croftpulley.core.replication import command_chunks, messages
 
 
 @attrs.define
@@ -24,7 +24,7 @@
     acknowledged_sent_s: float = float("-inf")
     in_flight: bool = False
     sent_s: float = float("-inf")
-    outgoing_snapshot: long_texts.OutgoingSnapshot | None = None
+    outgoing_snapshot: command_chunks.OutgoingSnapshot | None = None
 
     def record_acknowledgement(self, sent_s: float) -> None:
         """Record a reply to a request that was sent at ``sent_s``."""
@@ -41,10 +41,10 @@
         if self.outgoing_snapshot is not None and self.outgoing_snapshot.record_reply(reply):
             self.record_match(reply.index)
 
-    def current_snapshot(self, newest: messages.Snapshot) -> long_texts.OutgoingSnapshot:
+    def current_snapshot(self, newest: messages.Snapshot) -> command_chunks.OutgoingSnapshot:
         """Return the snapshot that is being sent; start to send ``newest`` if there is none."""
         if self.outgoing_snapshot is None:
-            self.outgoing_snapshot = long_texts.OutgoingSnapshot(newest)
+            self.outgoing_snapshot = command_chunks.OutgoingSnapshot(newest)
         return self.outgoing_snapshot
 
 
--- a/src/croftpulley/core/selection.py
+++ b/src/croftpulley/core/selection.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from croftpulley.core import calls, choice
+from croftpulley.core import calls, rendezvous
 
 
 @attrs.frozen(kw_only=True)
@@ -156,7 +156,7 @@
         return wait_ms + rates.work_weight * own_ms + load_and_rank_ms
 
     by_name = {each.name: each for each in fit}
-    ranked = [by_name[name] for name in choice.rendezvous_order(prompt.key, by_name)]
+    ranked = [by_name[name] for name in rendezvous.rendezvous_order(prompt.key, by_name)]
     costs_ms = [cost_ms(rank, each) for rank, each in enumerate(ranked)]
     return ranked[costs_ms.index(min(costs_ms))]
 
@@ -194,7 +194,7 @@
     loads = [each.load * kept + each.own_load * (1 - kept) for each in candidates]
     most = min(loads) + 1
     alike = [each.name for each, load in zip(candidates, loads, strict=True) if load < most]
-    first = choice.rendezvous_order(key, alike)[0]
+    first = rendezvous.rendezvous_order(key, alike)[0]
     return next(each for each in candidates if each.name == first)
 
 
@@ -207,4 +207,4 @@
     equals = [each for each in candidates if each.load == fewest]
     near = [each for each in equals if each.hall == hall] or equals
     by_name = {each.name: each for each in near}
-    return by_name[choice.rendezvous_order(key, by_name)[0]]
+    return by_name[rendezvous.rendezvous_order(key, by_name)[0]]
--- a/src/croftpulley/core/cold.py
+++ b/src/croftpulley/core/send_quotas.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from croftpulley.core import choice
+from croftpulley.core import rendezvous
 
 WINDOW_S = 1.0
 """The length of the sliding window in which requests are counted."""
@@ -124,7 +124,7 @@
 def _divide(endpoint: str, total: int, boxes: Sequence[str]) -> dict[str, int]:
     """Divide an endpoint's limit in whole requests among as many boxes as possible."""
     each, rest = divmod(total, max(1, len(boxes)))
-    ordered = choice.rendezvous_order(endpoint, boxes)[:total]
+    ordered = rendezvous.rendezvous_order(endpoint, boxes)[:total]
     return {box: each + (position < rest) for position, box in enumerate(ordered)}
 
 
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -26,7 +26,7 @@
 
 import attrs
 
-from croftpulley.core import bulletins, fingerprints, suspect_messages, suspect_rules
+from croftpulley.core import fingerprints, published_suspects, suspect_messages, suspect_rules
 
 MAX_SUSPECTS = 2048
 """Limits memory (1.5 MB per control box and 0.4 MB per router, with three crashes each) and what a
@@ -56,10 +56,14 @@
     TrialAnswer(verdict=<Verdict.REFUSED: 'refused'>, crashes=4, wait_s=3593.0)
     """
 
-    bulletin: bulletins.PublishedSuspects = attrs.field(factory=bulletins.PublishedSuspects)
+    bulletin: published_suspects.PublishedSuspects = attrs.field(
+        factory=published_suspects.PublishedSuspects
+    )
     _by_fingerprint: dict[str, suspect_rules.Suspect] = attrs.field(factory=dict)
-    _published: dict[str, bulletins.PublishedSuspect] = attrs.field(factory=dict)
-    _removals: collections.deque[bulletins.RemovedSuspect] = attrs.field(factory=collections.deque)
+    _published: dict[str, published_suspects.PublishedSuspect] = attrs.field(factory=dict)
+    _removals: collections.deque[published_suspects.RemovedSuspect] = attrs.field(
+        factory=collections.deque
+    )
     _from_revision: int = 0
     _revision: int = 0
 
@@ -70,7 +74,9 @@
         for each in suspects:
             made._by_fingerprint[each.fingerprint] = each
             if each.is_published:
-                made._published[each.fingerprint] = bulletins.PublishedSuspect(revision, each)
+                made._published[each.fingerprint] = published_suspects.PublishedSuspect(
+                    revision, each
+                )
         made._publish()
         return made
 
@@ -180,7 +186,7 @@
         if suspect.is_published:
             self._revision += 1
             self._published.pop(name, None)
-            self._published[name] = bulletins.PublishedSuspect(self._revision, suspect)
+            self._published[name] = published_suspects.PublishedSuspect(self._revision, suspect)
 
     def _remove(self, fingerprint: str) -> None:
         """Remove a feature, and record the removal if routers know of it."""
@@ -188,7 +194,7 @@
         if self._published.pop(fingerprint, None) is None:
             return
         self._revision += 1
-        self._removals.append(bulletins.RemovedSuspect(self._revision, fingerprint))
+        self._removals.append(published_suspects.RemovedSuspect(self._revision, fingerprint))
         if len(self._removals) > MAX_REMOVALS:
             self._from_revision = self._removals.popleft().revision
 
@@ -225,7 +231,7 @@
     def _publish(self) -> None:
         """Replace the bulletin if anything in it changed."""
         if self.bulletin.revision != self._revision or not self.bulletin.entries:
-            self.bulletin = bulletins.PublishedSuspects(
+            self.bulletin = published_suspects.PublishedSuspects(
                 self._revision,
                 self._from_revision,
                 tuple(self._published.values()),
--- a/src/croftpulley/daemons/control.py
+++ b/src/croftpulley/daemons/control.py
@@ -9,7 +9,7 @@
 from croftpulley import clock as clocks
 from croftpulley import codes
 from croftpulley.controllers import actors, agreement, directory
-from croftpulley.core import agreed, claims, submissions
+from croftpulley.core import claims, replicated_state, submissions
 from croftpulley.http import health_app, operator_app, server, tokens, wsgi
 from croftpulley.observe import events, metrics
 from croftpulley.settings import schema
@@ -95,16 +95,18 @@
     def claim(self, workspace: str, key: str, digest: str, claim_id: str) -> claims.ClaimAnswer:
         """Claim a call; the answer is given once the claim is on the disk."""
         at_wall_s = self._clock.wall_s()
-        answer: Any = self._propose(agreed.ClaimCall(workspace, key, digest, claim_id, at_wall_s))
+        answer: Any = self._propose(
+            replicated_state.ClaimCall(workspace, key, digest, claim_id, at_wall_s)
+        )
         return claims.ClaimAnswer(answer.state, answer.outcome)
 
     def record(self, workspace: str, key: str, outcome: claims.Outcome) -> bool:
         """Record a call's outcome."""
-        return bool(self._propose(agreed.RecordOutcome(workspace, key, outcome)))
+        return bool(self._propose(replicated_state.RecordOutcome(workspace, key, outcome)))
 
     def submit(self, submission: submissions.Submission) -> submissions.SubmissionAnswer:
         """Commit an operator's submission."""
-        answer = self._propose(agreed.SubmitConfiguration(submission))
+        answer = self._propose(replicated_state.SubmitConfiguration(submission))
         if not isinstance(answer, submissions.SubmissionAnswer):
             raise TypeError(f"got {answer!r} for a submission")
         event = events.Event.CONFIGURATION_COMMITTED
@@ -119,7 +121,7 @@
         )
         return answer
 
-    def _propose(self, command: agreed.Command) -> agreed.Result:
+    def _propose(self, command: replicated_state.Command) -> replicated_state.Result:
         return self._command_log.propose(command).get(timeout=_TIMEOUT_S)
 
     def _ask(self, message: object) -> Any:
--- a/src/croftpulley/daemons/replica.py
+++ b/src/croftpulley/daemons/replica.py
@@ -23,7 +23,7 @@
     sessions,
     suspect_register,
 )
-from croftpulley.core import agreed, retry_budget, submissions
+from croftpulley.core import replicated_state, retry_budget, submissions
 from croftpulley.core.replication import messages
 from croftpulley.core.replication import state as states
 from croftpulley.http import health_app, replica_app, server, wsgi
@@ -83,7 +83,7 @@
         self._counters = metrics.Metrics()
         self._replica_status = actors.View(replica_standing.ReplicaStatus())
         self._endpoints = actors.View(listing.Listing())
-        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        self._state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         self._replica = self._start_replica()
         self._log = replica.ReplicatedLog(self._replica, self._state)
         self._suspects = suspect_register.SuspectRegister(
--- a/src/croftpulley/emulator/choosers.py
+++ b/src/croftpulley/emulator/choosers.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from croftpulley.core import calls, choice, selection
+from croftpulley.core import calls, rendezvous, selection
 from croftpulley.policy import arms
 
 
@@ -51,7 +51,7 @@
     ) -> selection.Candidate:
         """Return the first in the order of the hash."""
         by_name = {each.name: each for each in candidates}
-        return by_name[choice.rendezvous_order(facts.shared_prefix[-1].part_id, by_name)[0]]
+        return by_name[rendezvous.rendezvous_order(facts.shared_prefix[-1].part_id, by_name)[0]]
 
 
 class BuiltIn(Chooser):
--- a/src/croftpulley/emulator/run.py
+++ b/src/croftpulley/emulator/run.py
@@ -10,7 +10,7 @@
 import attrs
 
 from croftpulley.bench import table
-from croftpulley.core import places, selection
+from croftpulley.core import prompt_part_index, selection
 from croftpulley.emulator import choosers, engines, traffic
 
 REPORT_S = 0.25
@@ -33,7 +33,9 @@
     """What one router has added itself since it was last told."""
 
     since: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    known: places.PromptPartIndex = attrs.field(factory=places.PromptPartIndex)
+    known: prompt_part_index.PromptPartIndex = attrs.field(
+        factory=prompt_part_index.PromptPartIndex
+    )
 
 
 @attrs.define
@@ -84,7 +86,7 @@
             for name in (f"engine-{number}" for number in range(deployment.engines))
         }
         self._routers = [_Router() for _ in range(deployment.routers)]
-        self._notes: list[places.Note] = []
+        self._notes: list[prompt_part_index.Note] = []
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._now_s = 0.0
@@ -124,7 +126,7 @@
         engine = self._engines[chosen.name].engine
         router.since[chosen.name] += 1
         for part in arrival.facts.shared_prefix:
-            note = places.Note(part.part_id, chosen.name)
+            note = prompt_part_index.Note(part.part_id, chosen.name)
             if router.known.record(note, self._now_s):
                 self._notes.append(note)
         begun = engine.begin(self._now_s, arrival.facts.prompt, arrival.out_tokens)
--- a/src/croftpulley/filters/choice.py
+++ b/src/croftpulley/filters/choice.py
@@ -4,7 +4,7 @@
 
 from croftpulley import codes, errors
 from croftpulley.controllers import actors
-from croftpulley.core import choice, membership
+from croftpulley.core import membership, rendezvous
 from croftpulley.filters import base
 
 
@@ -15,7 +15,7 @@
         """Fill in the candidates; raises where no engine is in service."""
         if exchange.chat is None:
             raise RuntimeError("the identify filter must come before the choice filter")
-        exchange.candidates = choice.engines_for(
+        exchange.candidates = rendezvous.engines_for(
             exchange.chat.chat_key, exchange.chat.pool, exchange.directory
         )
         if not exchange.candidates:
@@ -40,7 +40,7 @@
             and each.pool == exchange.service.pool
             and not each.leaving
         }
-        names = choice.rendezvous_order(exchange.request.request_id, usable)
+        names = rendezvous.rendezvous_order(exchange.request.request_id, usable)
         exchange.candidates = [usable[name] for name in names]
         if not exchange.candidates:
             raise errors.CroftpulleyError(codes.ResultCode.WORKER_UNREACHABLE)
--- a/src/croftpulley/filters/dispatch.py
+++ b/src/croftpulley/filters/dispatch.py
@@ -7,7 +7,7 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, state
-from croftpulley.core import attempts, choice, membership
+from croftpulley.core import attempts, membership, rendezvous
 from croftpulley.dispatch import local, remote
 from croftpulley.filters import base
 from croftpulley.observe import events, metrics
@@ -72,7 +72,7 @@
         self._view.wait_for(lambda known: known.directory.version != version, self._moment_s)
         if exchange.chat is not None:
             exchange.directory = self._view.get().directory
-            exchange.candidates = choice.engines_for(
+            exchange.candidates = rendezvous.engines_for(
                 exchange.chat.chat_key, exchange.chat.pool, exchange.directory
             )
 
--- a/src/croftpulley/filters/identify.py
+++ b/src/croftpulley/filters/identify.py
@@ -7,7 +7,7 @@
 import orjson
 
 from croftpulley import codes, errors
-from croftpulley.core import choice
+from croftpulley.core import rendezvous
 from croftpulley.filters import base
 from croftpulley.settings import fleet
 
@@ -76,7 +76,7 @@
         pool=model.pool,
         stream=_flag(body, "stream"),
         include_usage=usage is True,
-        chat_key=choice.chat_key(workspace.name, name, _named(exchange, "x-chat"), messages),
+        chat_key=rendezvous.chat_key(workspace.name, name, _named(exchange, "x-chat"), messages),
     )
 
 
--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -9,7 +9,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import permits, traffic
-from croftpulley.core import returns, waiting_line
+from croftpulley.core import retry_times, waiting_line
 from croftpulley.forwarding import base, headers
 from croftpulley.observe import events, metrics
 
@@ -70,12 +70,12 @@
         self, exchange: base.Exchange, request: permits.Request, figures: waiting_line.Figures
     ) -> float:
         """Return when there should be room: the more urgent return first, not all together."""
-        chance = returns.hash_fraction(exchange.facts.request_id)
-        position = returns.queue_position(request.urgency, chance)
+        chance = retry_times.hash_fraction(exchange.facts.request_id)
+        position = retry_times.queue_position(request.urgency, chance)
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         # Where no start can be expected: when there are most likely others.
-        opens_in_s = min(figures.starts_in_s, returns.MAX_WAIT_SHARE * left_s)
-        return returns.wait_s(opens_in_s, left_s, _SPREAD, position)
+        opens_in_s = min(figures.starts_in_s, retry_times.MAX_WAIT_SHARE * left_s)
+        return retry_times.wait_s(opens_in_s, left_s, _SPREAD, position)
 
 
 def _tell(
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -7,7 +7,7 @@
 
 from croftpulley import codes, errors
 from croftpulley.controllers import stream_origins, traffic
-from croftpulley.core import event_cut, origins
+from croftpulley.core import event_splitter, origins
 from croftpulley.forwarding import attempt, base, failover, retry
 from croftpulley.observe import events
 
@@ -37,7 +37,7 @@
         Raises `errors.CroftpulleyError` if the stream broke off and does not go on; before the
         first event no other endpoint is asked here.
         """
-        cutter = event_cut.EventSplitter()
+        cutter = event_splitter.EventSplitter()
         cutter.last_id = exchange.facts.last_event_id
         begun = False
         try:
@@ -79,7 +79,9 @@
         exchange.origin = origin
 
 
-def _whole_events(cutter: event_cut.EventSplitter, current: attempt.OpenAttempt) -> Iterator[bytes]:
+def _whole_events(
+    cutter: event_splitter.EventSplitter, current: attempt.OpenAttempt
+) -> Iterator[bytes]:
     """Yield what is whole; raises `errors.CroftpulleyError` if the answer ends within an event."""
     for chunk in current.answer.chunks():
         whole = cutter.feed(chunk)
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -6,7 +6,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import traffic
-from croftpulley.core import brittle, membership, told_load, verdicts, withdrawal
+from croftpulley.core import brittle, load_reports, membership, verdicts, withdrawal
 from croftpulley.forwarding import base, sender, vocabulary
 from croftpulley.observe import events, metrics
 
@@ -60,7 +60,7 @@
         # With 421 another endpoint has the address; it speaks of itself.
         if not text or answer.status == verdicts.MISDIRECTED:
             return
-        told = told_load.parse(text)
+        told = load_reports.parse(text)
         if told is not None:
             self._counts.hear_load(endpoint.key, told)
             return
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -8,7 +8,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import actors, permits, router_state, traffic
-from croftpulley.core import cold, membership, places, room, selection
+from croftpulley.core import load_limits, membership, prompt_part_index, selection, send_quotas
 from croftpulley.forwarding import base, headers, refusals, service, steer
 from croftpulley.observe import events
 
@@ -22,7 +22,7 @@
     endpoint: membership.Endpoint
     cache_from: str = ""
     reading_tokens: int = 0
-    departure: cold.SendRecord | None = None
+    departure: send_quotas.SendRecord | None = None
     """Of a request to a cold endpoint."""
 
 
@@ -102,8 +102,8 @@
         slots = pool.slots if pool else 0
         if self._counts.shares_room:
             # Who has a permit was let in by rank; what it is for must not be refused again.
-            return room.max_endpoint_load(slots)
-        return room.max_load(slots, headers.urgency(exchange))
+            return load_limits.max_endpoint_load(slots)
+        return load_limits.max_load(slots, headers.urgency(exchange))
 
     def _open(self, survey: service.Survey, passed_over: set[str]) -> list[selection.Candidate]:
         """Return the endpoints that may be sent one more request now."""
@@ -194,7 +194,7 @@
     ) -> Placed:
         """Work out what the engine must read, and from whom it fetches the rest."""
         most = max(held_tokens.values(), default=0)
-        if most - chosen.held_tokens < places.MIN_PART_TOKENS:
+        if most - chosen.held_tokens < prompt_part_index.MIN_PART_TOKENS:
             most = chosen.held_tokens
         reading = selection.prefill_work(prompt, chosen, most)
         holders = sorted(key for key, tokens in held_tokens.items() if tokens == most)
--- a/src/croftpulley/forwarding/refusals.py
+++ b/src/croftpulley/forwarding/refusals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from croftpulley import codes, errors
-from croftpulley.core import returns
+from croftpulley.core import retry_times
 from croftpulley.forwarding import base, headers, service
 
 
@@ -55,7 +55,7 @@
 
 def come_back_s(exchange: base.Exchange, survey: service.Survey) -> float:
     """Return when the caller should come back: once the pool takes requests, urgent ones first."""
-    chance = returns.hash_fraction(exchange.facts.request_id)
-    position = returns.queue_position(headers.urgency(exchange), chance)
+    chance = retry_times.hash_fraction(exchange.facts.request_id)
+    position = retry_times.queue_position(headers.urgency(exchange), chance)
     left_s = exchange.deadline_s - survey.now_s
-    return returns.wait_s(survey.opens_in_s, left_s, returns.JITTER_SHARE, position)
+    return retry_times.wait_s(survey.opens_in_s, left_s, retry_times.JITTER_SHARE, position)
--- a/src/croftpulley/forwarding/suspects.py
+++ b/src/croftpulley/forwarding/suspects.py
@@ -12,7 +12,14 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import suspicion, suspicion_reports
-from croftpulley.core import attempts, doubts, fingerprints, membership, suspect_messages, verdicts
+from croftpulley.core import (
+    attempts,
+    crash_candidates,
+    fingerprints,
+    membership,
+    suspect_messages,
+    verdicts,
+)
 from croftpulley.endpoints import dialing
 from croftpulley.forwarding import base
 from croftpulley.observe import events, metrics
@@ -199,26 +206,26 @@
     return suspect_messages.Asker(exchange.workspace_name, tuple(others))
 
 
-def _named(exchange: base.Exchange) -> doubts.RequestIdentity:
-    return doubts.RequestIdentity(
+def _named(exchange: base.Exchange) -> crash_candidates.RequestIdentity:
+    return crash_candidates.RequestIdentity(
         exchange.fingerprint, exchange.workspace_name, exchange.part_features, exchange.pool
     )
 
 
-def _ending(attempt: attempts.Attempt, *, is_cancelled: bool) -> doubts.Ending:
+def _ending(attempt: attempts.Attempt, *, is_cancelled: bool) -> crash_candidates.Ending:
     if attempt.run_state is codes.RunState.NOT_RUN:
-        return doubts.Ending.UNCLEAR
+        return crash_candidates.Ending.UNCLEAR
     if attempt.is_end_ambiguous and is_cancelled:
-        return doubts.Ending.GIVEN_UP
+        return crash_candidates.Ending.GIVEN_UP
     if attempt.is_end_ambiguous:
         is_read = attempt.phase is attempts.Phase.DONE and not attempt.is_truncated
         is_whole = is_read and attempt.status in verdicts.SUCCESS_STATUSES
-        return doubts.Ending.CLOSED if is_whole else doubts.Ending.BROKE
+        return crash_candidates.Ending.CLOSED if is_whole else crash_candidates.Ending.BROKE
     if attempt.phase is not attempts.Phase.DONE:
-        return doubts.Ending.GIVEN_UP
+        return crash_candidates.Ending.GIVEN_UP
     # An endpoint that fails requests may do so before it begins to run them.
     is_success = attempt.status in verdicts.SUCCESS_STATUSES
-    return doubts.Ending.SURVIVED if is_success else doubts.Ending.UNCLEAR
+    return crash_candidates.Ending.SURVIVED if is_success else crash_candidates.Ending.UNCLEAR
 
 
 def _error(
--- a/src/croftpulley/forwarding/vocabulary.py
+++ b/src/croftpulley/forwarding/vocabulary.py
@@ -48,7 +48,7 @@
     leaving: str = "x-leaving"
     """The endpoint ends soon and wants no more requests."""
     load: str = "x-load"
-    """What runs and waits there, its slots, and how long work takes (`core.told_load`)."""
+    """What runs and waits there, its slots, and how long work takes (`core.load_reports`)."""
     brittle: str = "x-brittle"
     """It ends where it has to turn away more requests in a second than this says."""
 
--- a/src/croftpulley/http/caller_app.py
+++ b/src/croftpulley/http/caller_app.py
@@ -10,7 +10,7 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, state
-from croftpulley.core import choice
+from croftpulley.core import rendezvous
 from croftpulley.filters import base
 from croftpulley.http import completions, wsgi
 from croftpulley.observe import events
@@ -63,8 +63,8 @@
         name = query.get("model") or (models[0].name if models else "")
         model = known.configuration.model(name)
         workspace = query.get("workspace", "")
-        key = choice.chat_key(workspace, name, query.get("chat", ""), [])
-        boxes = choice.entry_boxes(key, model.pool if model else None, known.directory)
+        key = rendezvous.chat_key(workspace, name, query.get("chat", ""), [])
+        boxes = rendezvous.entry_boxes(key, model.pool if model else None, known.directory)
         if not boxes:
             raise errors.CroftpulleyError(codes.ResultCode.NO_LEASE, "no entry box is in service")
         entries = [{"address": box.caller_address, "hall": box.hall} for box in boxes]
--- a/src/croftpulley/http/replica_app.py
+++ b/src/croftpulley/http/replica_app.py
@@ -14,7 +14,7 @@
     replica_standing,
     suspect_register,
 )
-from croftpulley.core import parts
+from croftpulley.core import configuration_transfer
 from croftpulley.core.replication import messages as replication
 from croftpulley.http import wsgi
 from croftpulley.observe import metrics
@@ -86,7 +86,7 @@
         return json_codec.encode(self._ask(self._sessions, report))
 
     def _part(self, body: bytes) -> bytes:
-        request = json_codec.decode(body, parts.ConfigurationRequest)
+        request = json_codec.decode(body, configuration_transfer.ConfigurationRequest)
         return json_codec.encode(self._configuration.answer(request))
 
     def _suspect_report(self, body: bytes) -> bytes:
--- a/src/croftpulley/policy/arms.py
+++ b/src/croftpulley/policy/arms.py
@@ -11,7 +11,7 @@
 import attrs
 import xxhash
 
-from croftpulley.core import choice, selection
+from croftpulley.core import rendezvous, selection
 from croftpulley.policy import language
 
 REQUEST_NAMES = (
@@ -121,7 +121,7 @@
     if arm.score is None:
         return None
     by_name = {each.name: each for each in candidates}
-    ranked = [by_name[name] for name in choice.rendezvous_order(request.key, by_name)]
+    ranked = [by_name[name] for name in rendezvous.rendezvous_order(request.key, by_name)]
     values = _request_values(request, candidates, most_held_tokens)
     scores = [
         arm.score.run(values | _candidate_values(request, each, rank))
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -11,16 +11,16 @@
 from cattrs.preconf import orjson as orjson_converter
 
 from croftpulley.core import (
-    agreed,
     claims,
     halls,
     membership,
     pool_versions,
+    replicated_state,
     submissions,
     suspect_rules,
     suspects,
 )
-from croftpulley.storage import packed_text
+from croftpulley.storage import text_compression
 
 _REGISTERS: Any = submissions.Submissions | submissions.HighestNumber
 
@@ -44,7 +44,7 @@
     pool_versions: pool_versions.PoolVersions = attrs.field(factory=pool_versions.PoolVersions)
 
 
-def encode(state: agreed.ReplicatedState) -> str:
+def encode(state: replicated_state.ReplicatedState) -> str:
     """Return the encoded state, as `restore` reads it."""
     document = _Document(
         register=_CONVERTER.unstructure(state.submissions, _REGISTERS),
@@ -59,10 +59,10 @@
         evacuated=state.evacuated,
         pool_versions=state.pool_versions,
     )
-    return packed_text.pack(orjson.dumps(_CONVERTER.unstructure(document)).decode())
+    return text_compression.pack(orjson.dumps(_CONVERTER.unstructure(document)).decode())
 
 
-def restore(text: str, state: agreed.ReplicatedState) -> None:
+def restore(text: str, state: replicated_state.ReplicatedState) -> None:
     """Replace the content of ``state`` by the encoded state in ``text``.
 
     An empty text is the state before the first command. Raises `ValueError` for a text that holds
@@ -73,7 +73,7 @@
         state.clear()
         return
     try:
-        document = _CONVERTER.structure(orjson.loads(packed_text.unpack(text)), _Document)
+        document = _CONVERTER.structure(orjson.loads(text_compression.unpack(text)), _Document)
         register = _CONVERTER.structure(_upgrade_register(document.register), _REGISTERS)
     except (KeyError, cattrs.BaseValidationError) as failure:
         raise ValueError(f"snapshot holds no state: {failure}") from failure
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -8,8 +8,8 @@
     halls,
     membership,
     origins,
-    outcomes,
-    places,
+    outlier_detection,
+    prompt_part_index,
     suspect_messages,
 )
 
@@ -52,9 +52,9 @@
     endpoints_version: int
     in_flight: dict[str, int]
     reading_tokens: dict[str, int] = attrs.field(factory=dict)
-    notes: places.NotesByEngine = attrs.field(factory=dict)
+    notes: prompt_part_index.NotesByEngine = attrs.field(factory=dict)
     next_note: int = 0
-    outcomes: outcomes.Counts = attrs.field(factory=dict)
+    outcomes: outlier_detection.Counts = attrs.field(factory=dict)
     suspects_revision: int = 0
     halls_revision: int = 0
     leaving: tuple[str, ...] = ()
@@ -74,13 +74,14 @@
     it was told of both. ``notes`` are all routers' from the
     number that was asked for up to ``next_note``. ``held_off`` are endpoints that fail more than
     their peers. ``configuration_version`` is the newest, which a router fetches in parts
-    (`core.parts`): its length must not bear on the lease. ``silent_addresses`` are those of the
-    ``control_addresses`` that lately answered the leader nothing: it is not fetched from there.
+    (`core.configuration_transfer`): its length must not bear on the lease. ``silent_addresses`` are
+    those of the ``control_addresses`` that lately answered the leader nothing: it is not fetched
+    from there.
     ``suspects`` are the requests under which endpoints ended, as far as they changed.
     ``registered_boxes`` share the extra of retry budgets; each stays registered for ``kept_s``
     after the end of its lease. ``evacuated`` are the halls whose endpoints get no requests.
     ``cold`` says, in the order of the list, which endpoints are cold and how many requests the box
-    may send there in any second, one more than that (`core.cold`). ``unreached`` is how many
+    may send there in any second, one more than that (`core.send_quotas`). ``unreached`` is how many
     boxes reach no endpoint of a pool, by pools, ``reaching`` some that do, for each pool that the
     router itself has lost, and ``answering`` the pools of which other boxes had answers lately.
     ``mixed`` are the pools whose endpoints have, or had lately, several versions; ``None`` where
@@ -100,7 +101,7 @@
     endpoints: tuple[membership.Endpoint, ...] | None = None
     loads: tuple[int, ...] | None = ()
     reading_tokens: tuple[int, ...] = ()
-    notes: places.NotesByEngine = attrs.field(factory=dict)
+    notes: prompt_part_index.NotesByEngine = attrs.field(factory=dict)
     next_note: int = 0
     held_off: tuple[str, ...] = ()
     suspects: suspect_messages.SuspectsUpdate | None = None
--- a/src/croftpulley/transport/packing.py
+++ b/src/croftpulley/transport/packing.py
@@ -9,7 +9,7 @@
 import zlib
 
 from croftpulley import codes, errors
-from croftpulley.core import parts
+from croftpulley.core import configuration_transfer
 
 _FAST = 1
 """The level of zlib that takes least time; the others save little on these texts."""
@@ -28,11 +28,12 @@
     """Return the text; raises `errors.CroftpulleyError` (BAD_REQUEST) for what is no packed one."""
     unpacker = zlib.decompressobj()
     try:
-        text = unpacker.decompress(packed, parts.MAX_TEXT_SIZE_BYTES)
+        text = unpacker.decompress(packed, configuration_transfer.MAX_TEXT_SIZE_BYTES)
         if not unpacker.eof:
             raise errors.CroftpulleyError(
                 codes.ResultCode.BAD_REQUEST,
-                f"got a packed text that is cut or longer than {parts.MAX_TEXT_SIZE_BYTES} bytes",
+                "got a packed text that is cut or longer than "
+                f"{configuration_transfer.MAX_TEXT_SIZE_BYTES} bytes",
             )
         return text.decode()
     except (zlib.error, UnicodeDecodeError) as failure:
--- a/testing/controllers/test_configuration_fetch.py
+++ b/testing/controllers/test_configuration_fetch.py
@@ -12,7 +12,7 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import agreement, configuration_fetch, configuration_parts
-from croftpulley.core import agreed, parts, submissions
+from croftpulley.core import configuration_transfer, replicated_state, submissions
 from croftpulley.transport import box_messages, json_codec, links, packing
 
 VERSION = 7
@@ -26,7 +26,7 @@
     """A command log with one configuration applied."""
 
     def __init__(self, version, text=TEXT):
-        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        self.state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         self.submit(version, text)
 
     def submit(self, version, text):
@@ -66,7 +66,7 @@
         self.requested_from.append(self.address)
         if self.address in self.unreachable:
             raise links.unreachable(self.address, "connection lost")
-        request = json_codec.decode(body, parts.ConfigurationRequest)
+        request = json_codec.decode(body, configuration_transfer.ConfigurationRequest)
         return json_codec.encode(self.servers[self.address].answer(request))
 
 
@@ -95,7 +95,11 @@
     fetched = run_round(make_fetch(boxes))
     assert (fetched.version, fetched.document) == (VERSION, TEXT)
     assert fetched.size_bytes == len(packing.pack(TEXT))
-    assert len(boxes.requested_from) == -(-fetched.size_bytes // parts.PART_SIZE_BYTES) == 4
+    assert (
+        len(boxes.requested_from)
+        == -(-fetched.size_bytes // configuration_transfer.PART_SIZE_BYTES)
+        == 4
+    )
     assert len(set(boxes.requested_from)) == 1
     assert LEADER not in boxes.requested_from
 
@@ -182,7 +186,9 @@
     fetch = make_fetch(boxes)
     first = fetch._sources[0]
     monkeypatch.setattr(
-        boxes.servers[first], "answer", lambda _request: parts.ConfigurationPart(version=VERSION)
+        boxes.servers[first],
+        "answer",
+        lambda _request: configuration_transfer.ConfigurationPart(version=VERSION),
     )
     assert run_round(fetch).document == TEXT
     assert boxes.requested_from.count(first) == 1
@@ -196,7 +202,7 @@
     answers = []
 
     def ask():
-        request = parts.ConfigurationRequest(version=VERSION, offset=0)
+        request = configuration_transfer.ConfigurationRequest(version=VERSION, offset=0)
         answers.append(server.answer(request))
 
     threads = [threading.Thread(target=ask) for _ in range(16)]
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -15,7 +15,7 @@
     replica_standing,
     suspect_register,
 )
-from croftpulley.core import agreed, submissions
+from croftpulley.core import replicated_state, submissions
 from croftpulley.core.replication import state as states
 from croftpulley.settings import formats
 
@@ -29,12 +29,12 @@
     """A command log; ``on_read`` is called before each read of its state."""
 
     def __init__(self):
-        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        self.state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         self.on_read = lambda: None
 
     def apply(self, version):
         submitted = submissions.Submission("", version, "{}")
-        self.state.apply(agreed.SubmitConfiguration(submitted))
+        self.state.apply(replicated_state.SubmitConfiguration(submitted))
 
     def propose(self, command):
         raise NotImplementedError
--- a/testing/controllers/test_proposals.py
+++ b/testing/controllers/test_proposals.py
@@ -5,7 +5,7 @@
 
 from croftpulley import codes, errors
 from croftpulley.controllers import proposals
-from croftpulley.core import agreed
+from croftpulley.core import replicated_state
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
 
 
 def propose():
-    return proposals.Proposal(agreed.ForgetBox("a"), pykka.ThreadingFuture())
+    return proposals.Proposal(replicated_state.ForgetBox("a"), pykka.ThreadingFuture())
 
 
 def failure_of(proposal):
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -14,7 +14,7 @@
     suspicion_reports,
     traffic,
 )
-from croftpulley.core import attempts, doubts, membership, retry_budget, selection
+from croftpulley.core import attempts, crash_candidates, membership, retry_budget, selection
 from croftpulley.core import reach as core
 from croftpulley.endpoints import dialing
 from croftpulley.observe import metrics
@@ -138,9 +138,9 @@
     links = cut_links.Links()
     listed = [worker(f"w{n}", address=f"127.0.0.1:{n}") for n in range(1, 7)]
     suspected = suspicion.Suspicion(clock, metrics.Metrics(()))
-    request = doubts.RequestIdentity("a-fingerprint", "clinic")
+    request = crash_candidates.RequestIdentity("a-fingerprint", "clinic")
     attempt = attempts.Attempt(1, "w1", attempts.Phase.SENT, is_end_ambiguous=True)
-    suspected.end(listed[0], request, attempt, doubts.Ending.BROKE)
+    suspected.end(listed[0], request, attempt, crash_candidates.Ending.BROKE)
     links.cut = cut_links.Cut.REFUSED
     suspicion_reports.look(suspected, listed[0], listed, 0.1, links)
     assert suspected.standing("a-fingerprint").crashes == 0
--- a/testing/controllers/test_replica_sight.py
+++ b/testing/controllers/test_replica_sight.py
@@ -12,7 +12,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import actors, proposals, replica, replica_standing
-from croftpulley.core import agreed, submissions, suspect_messages
+from croftpulley.core import replicated_state, submissions, suspect_messages
 from croftpulley.core.replication import messages
 from croftpulley.core.replication import state as states
 from croftpulley.observe import events, metrics
@@ -29,7 +29,7 @@
     started = []
 
     def make(members=MEMBERS[:1], counters=None, open_file=files.DiskFile):
-        state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
         view = actors.View(replica_standing.ReplicaStatus())
         controller = replica.ReplicaController.start(
             replica.Identity(
@@ -78,7 +78,7 @@
     _, view, log = start()
     wait_until(lambda: view.get().role is states.Role.LEADER, "the replica leads")
     for number in range(replica.SNAPSHOT_AFTER_ENTRIES + 1):
-        log.propose(agreed.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
+        log.propose(replicated_state.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
     wait_until(lambda: records_of(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
     (line, *_) = records_of(caplog, events.Event.LOG_COMPACTED)
     assert line.snapshot_index > 0
@@ -92,10 +92,10 @@
     # Random digits, which stay longer than the limit when compressed.
     document = json.dumps(random.Random(1).randbytes(replica.SNAPSHOT_AFTER_BYTES).hex())
     submission = submissions.Submission("operator", 1, document)
-    log.propose(agreed.SubmitConfiguration(submission)).get(timeout=5)
+    log.propose(replicated_state.SubmitConfiguration(submission)).get(timeout=5)
     wait_until(lambda: records_of(caplog, events.Event.LOG_COMPACTED), "the log was compacted")
     for number in range(5):
-        log.propose(agreed.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
+        log.propose(replicated_state.GrantOwnership(f"engine-{number}", "a")).get(timeout=5)
     (line,) = records_of(caplog, events.Event.LOG_COMPACTED)
     assert line.size_bytes > replica.SNAPSHOT_AFTER_BYTES
 
@@ -116,18 +116,18 @@
     entries in one batch, so the states would have diverged. Found in review, not observed in
     operation.
     """
-    apply = agreed.ReplicatedState.apply
+    apply = replicated_state.ReplicatedState.apply
 
     def apply_or_raise(state, command):
-        if command == agreed.ForgetBox("raises"):
+        if command == replicated_state.ForgetBox("raises"):
             raise ValueError("cannot be applied")
         return apply(state, command)
 
-    monkeypatch.setattr(agreed.ReplicatedState, "apply", apply_or_raise)
+    monkeypatch.setattr(replicated_state.ReplicatedState, "apply", apply_or_raise)
     _, view, log = start()
     wait_until(lambda: has_authority(view), "the replica leads")
-    failing = log.propose(agreed.ForgetBox("raises"))
-    succeeding = log.propose(agreed.GrantOwnership("engine", "box"))
+    failing = log.propose(replicated_state.ForgetBox("raises"))
+    succeeding = log.propose(replicated_state.GrantOwnership("engine", "box"))
     assert succeeding.get(timeout=5).epoch == 1
     with pytest.raises(errors.CroftpulleyError, match="INTERNAL"):
         failing.get(timeout=5)
@@ -168,28 +168,28 @@
         suspect_messages.Crash("f", "clinic", incarnation) for incarnation in ("e1", "e2")
     )
     for command in (
-        agreed.GrantOwnership("engine", "box"),
-        agreed.ReportSuspects(suspect_messages.Report(crashes=crashes), 0.0),
-        agreed.BeginTrial("f", "t1", 5.0, 1.0),
-        agreed.ReportSuspects(
+        replicated_state.GrantOwnership("engine", "box"),
+        replicated_state.ReportSuspects(suspect_messages.Report(crashes=crashes), 0.0),
+        replicated_state.BeginTrial("f", "t1", 5.0, 1.0),
+        replicated_state.ReportSuspects(
             suspect_messages.Report(
                 trial_ends=(suspect_messages.TrialEnd("f", "t1", was_sent=False),)
             ),
             2.0,
         ),
-        agreed.BeginTrial("f", "t2", 5.0, 3.0),
-        agreed.ReportSuspects(
+        replicated_state.BeginTrial("f", "t2", 5.0, 3.0),
+        replicated_state.ReportSuspects(
             suspect_messages.Report(trial_ends=(suspect_messages.TrialEnd("f", "t2"),)), 4.0
         ),
     ):
         log.propose(command).get(timeout=5)
     fail_next_writes(1)
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER"):
-        log.propose(agreed.ForgetBox("nobody")).get(timeout=5)
+        log.propose(replicated_state.ForgetBox("nobody")).get(timeout=5)
     wait_until(lambda: has_authority(view), "the replica leads again")
     (suspect,) = log.read().suspects.all()
     assert suspect.trials == 1
-    assert log.propose(agreed.GrantOwnership("engine", "box")).get(timeout=5).epoch == 2
+    assert log.propose(replicated_state.GrantOwnership("engine", "box")).get(timeout=5).epoch == 2
 
 
 def test_authority_is_withdrawn_before_proposals_fail_on_a_disk_error(
@@ -213,5 +213,5 @@
     monkeypatch.setattr(proposals.Proposal, "fail", watched)
     fail_next_writes(1)
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER"):
-        log.propose(agreed.ForgetBox("nobody")).get(timeout=5)
+        log.propose(replicated_state.ForgetBox("nobody")).get(timeout=5)
     assert authority_at_failure == [False]
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -18,7 +18,14 @@
 import shared_budget
 from croftpulley import clock as clocks
 from croftpulley.controllers import actors, agreement, listing, replica_standing, sessions, traffic
-from croftpulley.core import agreed, leases, membership, retry_budget, selection, submissions
+from croftpulley.core import (
+    leases,
+    membership,
+    replicated_state,
+    retry_budget,
+    selection,
+    submissions,
+)
 from croftpulley.core.replication import state as states
 from croftpulley.transport import box_messages
 
@@ -47,7 +54,7 @@
 
     def __init__(self, fleet):
         self._fleet = fleet
-        self.state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+        self.state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
 
     def propose(self, command):
         self._fleet.after(COMMIT_S, lambda: self.state.apply(command))
--- a/testing/controllers/test_sessions.py
+++ b/testing/controllers/test_sessions.py
@@ -9,7 +9,7 @@
 from croftpulley import clock as clocks
 from croftpulley import errors
 from croftpulley.controllers import actors, agreement, in_force, listing, replica_standing, sessions
-from croftpulley.core import agreed, membership, pool_versions, submissions, versions
+from croftpulley.core import membership, pool_versions, replicated_state, submissions, versions
 from croftpulley.core import sessions as box_sessions
 from croftpulley.core.replication import state as states
 from croftpulley.transport import box_messages
@@ -31,13 +31,13 @@
 
     def __init__(self, version):
         self.proposed = []
-        self._state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
-        self._state.apply(agreed.RegisterBox(BOX))
+        self._state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
+        self._state.apply(replicated_state.RegisterBox(BOX))
         listed = pool_versions.PoolVersion(ENDPOINT.pool, ENDPOINT.version)
-        self._state.apply(agreed.NoteVersions((listed,), 0.0))
+        self._state.apply(replicated_state.NoteVersions((listed,), 0.0))
         if version:
             submitted = submissions.Submission("", version, "{}")
-            self._state.apply(agreed.SubmitConfiguration(submitted))
+            self._state.apply(replicated_state.SubmitConfiguration(submitted))
 
     def propose(self, command):
         """Keep what is proposed; a test commits it."""
@@ -158,7 +158,7 @@
     controller, clock = make_leader(version=5)
     controller.handle(report(configuration_version=5))
     newer = submissions.Submission("", 6, "{}")
-    controller._command_log.read().apply(agreed.SubmitConfiguration(newer))
+    controller._command_log.read().apply(replicated_state.SubmitConfiguration(newer))
     done = waits_for(controller, 6)
     for _ in range(10):
         clock.advance(1.0)
@@ -174,7 +174,7 @@
     controller, _ = make_leader(version=5, view=view)
     controller.handle(report(configuration_version=5))
     controller._command_log.read().apply(
-        agreed.SubmitConfiguration(submissions.Submission("", 6, "{}"))
+        replicated_state.SubmitConfiguration(submissions.Submission("", 6, "{}"))
     )
     done = waits_for(controller, 6)
     view.publish(NO_AUTHORITY)
@@ -224,7 +224,7 @@
 
 def test_a_new_leader_tells_of_every_registered_box_though_it_has_heard_of_one(make_leader):
     controller, _ = make_leader()
-    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
     answer = controller.handle(report())
     assert (len(answer.boxes), answer.registered_boxes, answer.kept_s) == (1, 2, KEPT_S)
 
@@ -244,7 +244,7 @@
     assert controller._command_log.proposed == []
     clock.advance(0.1)
     controller.handle(actors.Tick())
-    assert controller._command_log.proposed == [agreed.ForgetBox(BOX.name)]
+    assert controller._command_log.proposed == [replicated_state.ForgetBox(BOX.name)]
 
 
 def test_a_box_that_comes_back_as_it_is_forgotten_has_a_lease_once_it_is_registered(make_leader):
@@ -267,7 +267,7 @@
     renewal (0.25 s) after the others, and told their sum as that of all.
     """
     controller, _ = make_leader()
-    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads is None
     theirs = attrs.evolve(report(), box=OTHER, in_flight={"e": 3})
     assert controller.handle(theirs).loads == (5,)
@@ -276,7 +276,7 @@
 
 def test_a_box_that_is_gone_keeps_loads_back_for_a_moment_only(make_leader):
     controller, clock = make_leader()
-    controller._command_log.read().apply(agreed.RegisterBox(OTHER))
+    controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
     controller.handle(attrs.evolve(report(), in_flight={"e": 2}))
     clock.advance(sessions.LOADS_AWAITED_S)
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads == (2,)
@@ -285,7 +285,7 @@
 def test_an_evacuation_is_in_force_once_every_box_has_said_that_it_obeys(make_leader):
     controller, _ = make_leader()
     controller.handle(report())
-    controller._command_log.read().apply(agreed.EvacuateHall("hall-b"))
+    controller._command_log.read().apply(replicated_state.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
     controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     told = controller.handle(report()).evacuated
@@ -298,7 +298,7 @@
 
 def test_an_evacuation_waits_for_the_lease_of_a_box_that_is_not_heard(make_leader):
     controller, clock = make_leader()
-    controller._command_log.read().apply(agreed.EvacuateHall("hall-b"))
+    controller._command_log.read().apply(replicated_state.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
     controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(halls_revision=1), done))
     clock.advance(LEASE_S)
--- a/testing/controllers/test_stopped_controllers.py
+++ b/testing/controllers/test_stopped_controllers.py
@@ -7,7 +7,7 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, replica, router_state, suspicion, suspicion_reports
-from croftpulley.core import agreed, attempts, doubts, membership
+from croftpulley.core import attempts, crash_candidates, membership, replicated_state
 from croftpulley.observe import metrics
 
 ENDPOINT = membership.Endpoint(
@@ -18,7 +18,7 @@
     hall="hall-a",
     incarnation="e",
 )
-REQUEST = doubts.RequestIdentity("f", "clinic", ("part-a",), "llm")
+REQUEST = crash_candidates.RequestIdentity("f", "clinic", ("part-a",), "llm")
 
 
 @pytest.fixture
@@ -35,13 +35,13 @@
 def test_broken_connection_after_the_stop_raises_nothing(suspicions):
     attempt = attempts.Attempt(1, "e")
     suspicions.begin(ENDPOINT, REQUEST, attempt)
-    suspicions.end(ENDPOINT, REQUEST, attempt, doubts.Ending.BROKE)
+    suspicions.end(ENDPOINT, REQUEST, attempt, crash_candidates.Ending.BROKE)
 
 
 def test_crashes_seen_after_the_stop_are_recorded(suspicions):
     attempt = attempts.Attempt(1, "e")
     suspicions.begin(ENDPOINT, REQUEST, attempt)
-    suspicions.end(ENDPOINT, REQUEST, attempt, doubts.Ending.GIVEN_UP)
+    suspicions.end(ENDPOINT, REQUEST, attempt, crash_candidates.Ending.GIVEN_UP)
     suspicions.looked(ENDPOINT, listens=False)
     assert {each.fingerprint for each in suspicions.news().crashes} == {"f", "part-a"}
 
@@ -49,7 +49,7 @@
 def test_command_proposed_after_the_stop_fails_as_not_run():
     stopped = actors.Controller.start()
     stopped.stop()
-    log = replica.ReplicatedLog(stopped, agreed.ReplicatedState())
+    log = replica.ReplicatedLog(stopped, replicated_state.ReplicatedState())
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER") as raised:
-        log.propose(agreed.ForgetBox("a")).get(timeout=1)
+        log.propose(replicated_state.ForgetBox("a")).get(timeout=1)
     assert raised.value.run_state is codes.RunState.NOT_RUN
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -9,7 +9,13 @@
 from croftpulley import clock as clocks
 from croftpulley import codes, errors
 from croftpulley.controllers import actors, agreement, replica_standing, suspect_register, suspicion
-from croftpulley.core import agreed, attempts, doubts, membership, suspect_messages
+from croftpulley.core import (
+    attempts,
+    crash_candidates,
+    membership,
+    replicated_state,
+    suspect_messages,
+)
 from croftpulley.core.replication import state as states
 from croftpulley.observe import metrics
 from croftpulley.transport import box_messages
@@ -24,7 +30,7 @@
     """Applies at once, or refuses."""
 
     def __init__(self):
-        self.state = agreed.ReplicatedState()
+        self.state = replicated_state.ReplicatedState()
         self.proposed = []
         self.refuses = False
 
@@ -61,10 +67,10 @@
     known = suspicion.Suspicion(clocks.ManualClock(), metrics.Metrics())
     kind = membership.EndpointKind.ENGINE
     endpoint = membership.Endpoint("e", kind, "llm", "127.0.0.1:9", "hall-a", "e")
-    request = doubts.RequestIdentity("f", "clinic", ("part-a",), "llm")
+    request = crash_candidates.RequestIdentity("f", "clinic", ("part-a",), "llm")
     attempt = attempts.Attempt(1, "e")
     known.begin(endpoint, request, attempt)
-    known.end(endpoint, request, attempt, doubts.Ending.GIVEN_UP)
+    known.end(endpoint, request, attempt, crash_candidates.Ending.GIVEN_UP)
     known.looked(endpoint, listens=False)
     told = suspect_messages.SuspectSummary("part-a", 1, pools=("llm",))
     known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(told,)))
--- a/testing/core/replication/test_large_entries.py
+++ b/testing/core/replication/test_large_entries.py
@@ -18,7 +18,7 @@
 import pytest
 
 from core.replication import cluster as clusters
-from croftpulley.core.replication import long_texts, messages, progress, replica, state
+from croftpulley.core.replication import command_chunks, messages, progress, replica, state
 from croftpulley.transport import json_codec
 
 SEEDS = range(3)
@@ -103,7 +103,7 @@
 
 
 def test_an_incomplete_command_is_dropped_when_a_new_term_starts():
-    assembler = long_texts.CommandAssembler()
+    assembler = command_chunks.CommandAssembler()
     kind = messages.EntryKind.COMMAND
     assert assembler.add(messages.Entry(1, kind, "lost", continues=True)) is None
     start = messages.Entry(2, messages.EntryKind.START)
@@ -126,15 +126,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_snapshot_chunks_of_two_leaders_are_never_combined(seed):
     rng = random.Random(seed)
-    texts = {term: large_text(5 * long_texts.CHUNK_LENGTH, term) for term in (4, 5)}
-    incoming = long_texts.IncomingSnapshot()
+    texts = {term: large_text(5 * command_chunks.CHUNK_LENGTH, term) for term in (4, 5)}
+    incoming = command_chunks.IncomingSnapshot()
     completed = []
     for _ in range(300):
         term = rng.choice((4, 5)) if rng.random() < 0.1 else incoming.term or 4
         offset = 0 if term != incoming.term else incoming.received
         if rng.random() < 0.1:
-            offset = rng.randrange(5) * long_texts.CHUNK_LENGTH
-        text = texts[term][offset : offset + long_texts.CHUNK_LENGTH]
+            offset = rng.randrange(5) * command_chunks.CHUNK_LENGTH
+        text = texts[term][offset : offset + command_chunks.CHUNK_LENGTH]
         request = messages.SnapshotRequest(
             to="a",
             term=term,
@@ -161,7 +161,7 @@
     for _ in range(200):
         cluster.step()
         sizes_bytes += [len(json_codec.encode(each.body)) for each in cluster.network]
-    assert 1.5 * long_texts.CHUNK_LENGTH > max(sizes_bytes) > long_texts.CHUNK_LENGTH
+    assert 1.5 * command_chunks.CHUNK_LENGTH > max(sizes_bytes) > command_chunks.CHUNK_LENGTH
 
 
 def follower_with_partial_command():
--- a/testing/core/test_parts.py
+++ b/testing/core/test_configuration_transfer.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from croftpulley import codes, errors
-from croftpulley.core import parts
+from croftpulley.core import configuration_transfer
 
-SIZE_BYTES = 2 * parts.PART_SIZE_BYTES + 100
+SIZE_BYTES = 2 * configuration_transfer.PART_SIZE_BYTES + 100
 """Three parts, the last one shorter."""
 
 
 def packed(version, size_bytes=SIZE_BYTES):
-    return parts.PackedConfiguration.from_text(
+    return configuration_transfer.PackedConfiguration.from_text(
         version, random.Random(version).randbytes(size_bytes)
     )
 
@@ -33,7 +33,7 @@
 
 def download_with_parts(text, part_count=1):
     """Return a download of ``text`` that has received ``part_count`` parts."""
-    download = parts.ConfigurationDownload()
+    download = configuration_transfer.ConfigurationDownload()
     download.set_target(text.version)
     for _ in range(part_count):
         assert download.add_part(text.part_for(download.request())) is None
@@ -46,7 +46,7 @@
     assert raised.value.code is codes.ResultCode.BAD_REQUEST
 
 
-@pytest.mark.parametrize("size_bytes", [1, parts.PART_SIZE_BYTES, SIZE_BYTES])
+@pytest.mark.parametrize("size_bytes", [1, configuration_transfer.PART_SIZE_BYTES, SIZE_BYTES])
 def test_all_parts_in_order_give_the_text(size_bytes):
     text = packed(3, size_bytes)
     download = download_with_parts(text, 0)
@@ -55,7 +55,7 @@
 
 
 def test_nothing_is_requested_before_a_version_is_known_or_after_it_is_complete():
-    download = parts.ConfigurationDownload()
+    download = configuration_transfer.ConfigurationDownload()
     assert download.request() is None
     download.set_target(0)
     assert download.request() is None
@@ -65,7 +65,9 @@
     download.set_target(2)
     assert download.request() is None
     assert (
-        download.add_part(packed(3).part_for(parts.ConfigurationRequest(version=3, offset=0)))
+        download.add_part(
+            packed(3).part_for(configuration_transfer.ConfigurationRequest(version=3, offset=0))
+        )
         is None
     )
 
@@ -73,7 +75,9 @@
 def test_received_data_is_kept_when_a_part_fails():
     text = packed(3)
     download = download_with_parts(text, 2)
-    wanted = parts.ConfigurationRequest(version=3, offset=2 * parts.PART_SIZE_BYTES)
+    wanted = configuration_transfer.ConfigurationRequest(
+        version=3, offset=2 * configuration_transfer.PART_SIZE_BYTES
+    )
     assert download.request() == wanted
     assert download.add_part(packed(2).part_for(wanted)) is None
     assert download.request() == wanted
@@ -91,32 +95,34 @@
 def test_a_newer_version_starts_over_and_an_older_one_changes_nothing():
     download = download_with_parts(packed(3), 2)
     download.set_target(2)
-    assert download.request().offset == 2 * parts.PART_SIZE_BYTES
+    assert download.request().offset == 2 * configuration_transfer.PART_SIZE_BYTES
     newer = packed(4)
     assert download.add_part(newer.part_for(download.request())) is None
-    wanted = parts.ConfigurationRequest(version=4, offset=parts.PART_SIZE_BYTES)
+    wanted = configuration_transfer.ConfigurationRequest(
+        version=4, offset=configuration_transfer.PART_SIZE_BYTES
+    )
     assert download.request() == wanted
     assert download_all(download, newer) == newer.text
 
 
 def test_a_box_without_the_version_answers_with_its_own_and_no_data():
-    request = parts.ConfigurationRequest(version=4, offset=0)
-    assert packed(3).part_for(request) == parts.ConfigurationPart(version=3)
+    request = configuration_transfer.ConfigurationRequest(version=4, offset=0)
+    assert packed(3).part_for(request) == configuration_transfer.ConfigurationPart(version=3)
 
 
 @pytest.mark.parametrize("offset", [-1, SIZE_BYTES, 1 << 40])
 def test_a_request_with_an_offset_outside_the_text_is_rejected(offset):
     with pytest.raises(errors.CroftpulleyError, match="offset"):
-        packed(3).part_for(parts.ConfigurationRequest(version=3, offset=offset))
+        packed(3).part_for(configuration_transfer.ConfigurationRequest(version=3, offset=offset))
 
 
 @pytest.mark.parametrize(
     "damage",
     [
         {"data": b""},
-        {"data": bytes(parts.PART_SIZE_BYTES + 1)},
+        {"data": bytes(configuration_transfer.PART_SIZE_BYTES + 1)},
         {"size_bytes": 0},
-        {"size_bytes": parts.MAX_TEXT_SIZE_BYTES + 1},
+        {"size_bytes": configuration_transfer.MAX_TEXT_SIZE_BYTES + 1},
         {"offset": -1},
         {"offset": SIZE_BYTES},
         {"checksum": 1},
@@ -134,7 +140,7 @@
 
 def test_received_data_is_discarded_after_two_mismatching_parts_in_a_row():
     text = packed(3)
-    wrong = parts.PackedConfiguration.from_text(3, packed(3).text[::-1])
+    wrong = configuration_transfer.PackedConfiguration.from_text(3, packed(3).text[::-1])
     download = download_with_parts(wrong)
     assert_rejected(download, text.part_for(download.request()))
     assert download.request().offset > 0
@@ -148,7 +154,7 @@
     download = download_with_parts(text, 2)
     last = text.part_for(download.request())
     assert_rejected(download, attrs.evolve(last, data=bytes(len(last.data))))
-    assert download.request() == parts.ConfigurationRequest(version=3, offset=0)
+    assert download.request() == configuration_transfer.ConfigurationRequest(version=3, offset=0)
     assert download_all(download, text) == text.text
 
 
@@ -176,7 +182,7 @@
 
 @given(EVENTS)
 def test_any_order_of_failures_versions_and_repeats_ends_in_the_text_of_the_newest_version(events):
-    download = parts.ConfigurationDownload()
+    download = configuration_transfer.ConfigurationDownload()
     download.set_target(1)
     sent = []
     completed = []
@@ -234,14 +240,17 @@
 )
 def test_every_control_box_is_tried_once_and_the_leader_last(addresses, leader, seed):
     leader = leader.strip()
-    order = parts.fetch_order(tuple(addresses), leader, random.Random(seed))
+    order = configuration_transfer.fetch_order(tuple(addresses), leader, random.Random(seed))
     assert sorted(order) == sorted(addresses | ({leader} - {""}))
     assert not leader or order[-1] == leader
 
 
 def test_routers_spread_over_the_control_boxes_other_than_the_leader():
     addresses = tuple("abcdefgh")
-    first = [parts.fetch_order(addresses, "a", random.Random(seed))[0] for seed in range(790)]
+    first = [
+        configuration_transfer.fetch_order(addresses, "a", random.Random(seed))[0]
+        for seed in range(790)
+    ]
     assert set(first) == set(addresses) - {"a"}
     # 790 routers over seven boxes: 113 each on average.
     assert max(first.count(each) for each in addresses) < 170
--- a/testing/core/test_doubts.py
+++ b/testing/core/test_crash_candidates.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from croftpulley.core import attempts, doubts
+from croftpulley.core import attempts, crash_candidates
 
-REQUEST = doubts.RequestIdentity("f", "clinic")
-OTHER = doubts.RequestIdentity("g", "clinic")
-Ending = doubts.Ending
+REQUEST = crash_candidates.RequestIdentity("f", "clinic")
+OTHER = crash_candidates.RequestIdentity("g", "clinic")
+Ending = crash_candidates.Ending
 
 
 @pytest.fixture
 def candidates():
-    made = doubts.CrashCandidates()
+    made = crash_candidates.CrashCandidates()
     made.update_listed({"e": False, "other": False}, 0.0)
     return made
 
@@ -62,7 +62,7 @@
 
 def test_a_request_that_ended_long_before_is_no_candidate(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
-    assert candidates.conclude_ended("e", 1.1 + doubts.RECENT_CANDIDATE_S) == ()
+    assert candidates.conclude_ended("e", 1.1 + crash_candidates.RECENT_CANDIDATE_S) == ()
 
 
 def test_an_endpoint_ends_only_once(candidates):
@@ -81,7 +81,7 @@
 
 def test_a_success_clears_requests_that_ended_well_before_it(candidates):
     run_to_end(candidates, REQUEST, Ending.BROKE, 1.0)
-    run_to_end(candidates, OTHER, Ending.SURVIVED, 1.0 + doubts.RECENT_CANDIDATE_S)
+    run_to_end(candidates, OTHER, Ending.SURVIVED, 1.0 + crash_candidates.RECENT_CANDIDATE_S)
     assert candidates.update_listed({"other": False}, 4.0) == {}
 
 
--- a/testing/core/test_event_cut.py
+++ b/testing/core/test_event_splitter.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftpulley.core import event_cut
+from croftpulley.core import event_splitter
 
 
 class TestEventCutter:
@@ -14,7 +14,7 @@
     @given(st.lists(st.integers(1, 40), max_size=30))
     def test_any_split_of_the_input_gives_the_same_events(self, sizes):
         stream = b"".join(b"id: %d\ndata: text %d\n\n" % (n, n) for n in range(20))
-        splitter = event_cut.EventSplitter()
+        splitter = event_splitter.EventSplitter()
         out = b""
         start = 0
         for size in [*sizes, len(stream)]:
@@ -25,7 +25,7 @@
         assert splitter.is_between_events
 
     def test_a_partial_event_is_buffered(self):
-        splitter = event_cut.EventSplitter()
+        splitter = event_splitter.EventSplitter()
         assert splitter.feed(b"id: 1\ndata: x\n\nid: 2\nda") == b"id: 1\ndata: x\n\n"
         assert not splitter.is_between_events
         assert splitter.last_id == "1"
--- a/testing/core/test_listed.py
+++ b/testing/core/test_incarnation_tracker.py
@@ -6,7 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftpulley.core import listed, listed_counts, membership, places, records, withdrawal
+from croftpulley.core import (
+    incarnation_tracker,
+    listed_counts,
+    membership,
+    prompt_part_index,
+    records,
+    withdrawal,
+)
 
 PAGE_LAG_S = 1.2
 
@@ -26,24 +33,24 @@
     def test_the_later_of_two_incarnations_counts_in_any_order(self):
         for order in ((1, 2), (2, 1)):
             assert names_and_starts(
-                listed.IncarnationTracker().update([born(at) for at in order], 0.0)
+                incarnation_tracker.IncarnationTracker().update([born(at) for at in order], 0.0)
             ) == [("w", 2)]
 
     def test_stale_page_does_not_restore_an_older_incarnation(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         tracker.update([born(1)], 0.0)
         tracker.update([born(2)], 1.0)
         assert names_and_starts(tracker.update([born(1)], 1.0 + PAGE_LAG_S)) == [("w", 2)]
         assert names_and_starts(tracker.update([born(2)], 2.0 + PAGE_LAG_S)) == [("w", 2)]
 
     def test_older_incarnation_does_not_replace_a_long_listed_one_at_once(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         for now_s in range(100):
             tracker.update([born(2)], float(now_s))
         assert names_and_starts(tracker.update([born(1)], 100.0)) == [("w", 2)]
 
     def test_endpoint_whose_clock_was_set_back_is_accepted_eventually(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         tracker.update([born(5_000)], 0.0)
         seen = [
             names_and_starts(tracker.update([born(1_000)], float(now_s))) for now_s in range(1, 12)
@@ -52,13 +59,13 @@
         assert seen[-1] == [("w", 1_000)]
 
     def test_leaving_applies_to_one_incarnation_only(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         tracker.update([born(1, leaving=True)], 0.0)
         assert tracker.update([born(1)], 1.0)[0].leaving
         assert not tracker.update([born(2)], 2.0)[0].leaving
 
     def test_incarnation_marked_as_leaving_stays_so_whatever_the_list_says(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         tracker.update([born(1), born(1, "v")], 0.0)
         assert names_and_starts(tracker.mark_leaving([born(1).key, "unknown"])) == [("w", 1)]
         assert tracker.mark_leaving([born(1).key]) == ()
@@ -67,11 +74,13 @@
         assert not tracker.update([born(2)], 2.0)[0].leaving
 
     def test_duplicate_entries_are_merged_and_leaving_if_either_is(self):
-        taken = listed.IncarnationTracker().update([born(1), born(1, leaving=True)], 0.0)
+        taken = incarnation_tracker.IncarnationTracker().update(
+            [born(1), born(1, leaving=True)], 0.0
+        )
         assert [each.leaving for each in taken] == [True]
 
     def test_list_without_start_times_is_accepted_unchanged(self):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         old = attrs.evolve(born(None), address="127.0.0.1:2")
         assert tracker.update([old], 0.0) == (old,)
         assert tracker.update([born(None)], 0.1) == (born(None),)
@@ -85,7 +94,7 @@
         )
     )
     def test_each_name_is_returned_once_and_does_not_revert_early(self, readings):
-        tracker = listed.IncarnationTracker()
+        tracker = incarnation_tracker.IncarnationTracker()
         now_s = 0.0
         last: dict[str, tuple[int, float]] = {}
         for pause_s, entries in readings:
@@ -95,7 +104,10 @@
             assert {each.name for each in taken} == {name for name, _ in entries}
             for each in taken:
                 latest, at_s = last.get(each.name, (0, 0.0))
-                assert each.born_ms >= latest or now_s - at_s >= listed.STALE_INCARNATION_S
+                assert (
+                    each.born_ms >= latest
+                    or now_s - at_s >= incarnation_tracker.STALE_INCARNATION_S
+                )
                 shown = max(at for name, at in entries if name == each.name)
                 if shown >= latest or each.born_ms != latest:
                     last[each.name] = (each.born_ms, now_s)
@@ -126,7 +138,7 @@
 
 def apply(known, step, key, now_s):
     """Apply one action of a router, possibly after the incarnation has ended."""
-    note = places.Note(f"part {key}", key or "")
+    note = prompt_part_index.Note(f"part {key}", key or "")
     match step:
         case "keep":
             known.update_listed(key, now_s)
@@ -199,7 +211,7 @@
 def test_incarnation_that_is_listed_again_starts_without_records():
     known = records.Records()
     known.update("e@1", enter)
-    known.note_own(places.Note("p", "e@1"), 0.0)
+    known.note_own(prompt_part_index.Note("p", "e@1"), 0.0)
     known.update_listed({"e@2"}, 1.0)
     known.update_listed({"e@1"}, 2.0)
     assert known.in_flight() == {}
--- a/testing/core/test_told_load.py
+++ b/testing/core/test_load_reports.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from croftpulley.core import told_load
+from croftpulley.core import load_reports
 
 
 @pytest.mark.parametrize(
@@ -18,7 +18,7 @@
     ],
 )
 def test_a_valid_report_is_parsed(text, figures):
-    report = told_load.parse(text)
+    report = load_reports.parse(text)
     assert (report.running, report.waiting, report.slots, report.time_percent) == figures
 
 
@@ -47,10 +47,10 @@
     ],
 )
 def test_an_invalid_report_is_ignored(text):
-    assert told_load.parse(text) is None
+    assert load_reports.parse(text) is None
 
 
 def test_an_implausibly_high_load_counts_as_twice_the_slots():
-    report = told_load.parse("900000,900000,16")
+    report = load_reports.parse("900000,900000,16")
     assert report.is_full
     assert report.request_count == 32
--- a/testing/core/test_membership.py
+++ b/testing/core/test_membership.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftpulley.core import choice, leases, membership, placement
+from croftpulley.core import leases, membership, placement, rendezvous
 
 
 def engine(name, leaving=False, incarnation="1"):
@@ -83,8 +83,8 @@
     names = [f"e-{number}" for number in range(10)]
     moved = 0
     for number in range(500):
-        before = choice.rendezvous_order(f"chat-{number}", names)
-        after = choice.rendezvous_order(f"chat-{number}", names[1:])
+        before = rendezvous.rendezvous_order(f"chat-{number}", names)
+        after = rendezvous.rendezvous_order(f"chat-{number}", names[1:])
         assert after == [name for name in before if name != "e-0"]
         moved += before[0] == "e-0"
     assert moved < 100
@@ -93,15 +93,15 @@
 def test_a_chat_without_an_id_keeps_its_key_as_it_grows():
     first = [{"role": "system", "content": "s"}, {"role": "user", "content": "q"}]
     later = [*first, {"role": "assistant", "content": "a"}, {"role": "user", "content": "r"}]
-    key = choice.chat_key("clinic", "m", "", first)
-    assert key == choice.chat_key("clinic", "m", "", later)
-    assert key != choice.chat_key("clinic", "m", "", later[2:])
+    key = rendezvous.chat_key("clinic", "m", "", first)
+    assert key == rendezvous.chat_key("clinic", "m", "", later)
+    assert key != rendezvous.chat_key("clinic", "m", "", later[2:])
 
 
 def test_the_owner_of_a_chats_engine_comes_first_and_a_draining_box_never():
     owners = (membership.Ownership("e", "b", 1),)
     boxes = (box("a"), box("b"), box("c"))
     directory = membership.Directory(1, boxes, (engine("e"),), owners)
-    assert choice.entry_boxes("chat", "llm", directory)[0].name == "b"
+    assert rendezvous.entry_boxes("chat", "llm", directory)[0].name == "b"
     draining = attrs.evolve(directory, boxes=(box("a"), box("b", draining=True), box("c")))
-    assert {each.name for each in choice.entry_boxes("chat", "llm", draining)} == {"a", "c"}
+    assert {each.name for each in rendezvous.entry_boxes("chat", "llm", draining)} == {"a", "c"}
--- a/testing/core/test_outcomes.py
+++ b/testing/core/test_outlier_detection.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftpulley.core import outcomes
+from croftpulley.core import outlier_detection
 
 POOL = ("a", "b", "c")
 
@@ -26,7 +26,7 @@
 def test_an_endpoint_that_fails_two_of_five_is_held_off_within_two_seconds():
     detected = 0
     for seed in range(50):
-        detector, rng = outcomes.OutlierDetector(), random.Random(seed)
+        detector, rng = outlier_detection.OutlierDetector(), random.Random(seed)
         for second in range(2):
             traffic(detector, rng, float(second), {"a": 0.4, "b": 0.05, "c": 0.05})
             detected += "a" in new_holds(detector, float(second))
@@ -36,7 +36,7 @@
 def test_endpoints_that_fail_equally_often_are_not_held_off():
     held = []
     for seed in range(50):
-        detector, rng = outcomes.OutlierDetector(), random.Random(seed)
+        detector, rng = outlier_detection.OutlierDetector(), random.Random(seed)
         for second in range(30):
             traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.05))
             held += new_holds(detector, float(second))
@@ -45,14 +45,14 @@
 
 
 def test_no_endpoint_is_held_off_if_the_whole_pool_fails():
-    detector, rng = outcomes.OutlierDetector(), random.Random(1)
+    detector, rng = outlier_detection.OutlierDetector(), random.Random(1)
     for second in range(20):
         traffic(detector, rng, float(second), dict.fromkeys(POOL, 0.5))
         assert new_holds(detector, float(second)) == []
 
 
 def test_after_a_hold_only_new_requests_count_and_the_next_hold_is_longer():
-    detector = outcomes.OutlierDetector()
+    detector = outlier_detection.OutlierDetector()
     detector.add({"a": (0, 5), "b": (9, 0)}, 0.0)
     (first,) = detector.hold_off_outliers([POOL], 0.0)
     after_s = first.hold_s + 0.1
@@ -64,17 +64,17 @@
 
 
 def test_the_hold_is_short_again_after_a_long_time_without_one():
-    detector = outcomes.OutlierDetector()
+    detector = outlier_detection.OutlierDetector()
     detector.add({"a": (0, 5)}, 0.0)
     (first,) = detector.hold_off_outliers([POOL], 0.0)
-    later_s = first.hold_s + outcomes.HOLD_RESET_S + 1.0
+    later_s = first.hold_s + outlier_detection.HOLD_RESET_S + 1.0
     detector.add({"a": (0, 5)}, later_s)
     (second,) = detector.hold_off_outliers([POOL], later_s)
     assert second.hold_s == first.hold_s
 
 
 def test_unlisted_endpoints_are_forgotten():
-    detector = outcomes.OutlierDetector()
+    detector = outlier_detection.OutlierDetector()
     detector.add({"a": (0, 5)}, 0.0)
     detector.hold_off_outliers([POOL], 0.0)
     detector.retain({"b"})
@@ -89,7 +89,7 @@
 
 @given(reports)
 def test_never_more_than_half_of_a_pool_is_held_off(reported):
-    detector = outcomes.OutlierDetector()
+    detector = outlier_detection.OutlierDetector()
     now_s = 0.0
     for endpoint, succeeded, failed, pause_s in reported:
         now_s += pause_s
--- a/testing/core/test_agreed.py
+++ b/testing/core/test_replicated_state.py
@@ -3,7 +3,7 @@
 import pytest
 
 from croftpulley import codes
-from croftpulley.core import agreed, claims, submissions
+from croftpulley.core import claims, replicated_state, submissions
 
 RAN = claims.Outcome(codes.RunState.RAN, 200, "application/json", b"{}")
 NOT_RUN = claims.Outcome(codes.RunState.NOT_RUN, 0, "", b"")
@@ -11,20 +11,20 @@
 
 @pytest.fixture
 def state():
-    return agreed.ReplicatedState()
+    return replicated_state.ReplicatedState()
 
 
 def submit(state, operator="aigerim", number=1, document="{}"):
     submission = submissions.Submission(operator, number, document)
-    return state.apply(agreed.SubmitConfiguration(submission))
+    return state.apply(replicated_state.SubmitConfiguration(submission))
 
 
 def claim(state, key="k", digest="d", claim_id="c-1"):
-    return state.apply(agreed.ClaimCall("clinic", key, digest, claim_id, 100.0))
+    return state.apply(replicated_state.ClaimCall("clinic", key, digest, claim_id, 100.0))
 
 
 def record(state, outcome, key="k"):
-    return state.apply(agreed.RecordOutcome("clinic", key, outcome))
+    return state.apply(replicated_state.RecordOutcome("clinic", key, outcome))
 
 
 def test_a_resent_submission_gets_its_first_answer_and_reverts_no_later_one(state):
@@ -85,13 +85,13 @@
 def test_one_command_drops_a_bounded_number_of_old_claims(state):
     for number in range(claims.MAX_CLAIMS_PER_DROP + 5):
         claim(state, key=f"k-{number}")
-    assert state.apply(agreed.DropClaims(101.0)) == claims.MAX_CLAIMS_PER_DROP
-    assert state.apply(agreed.DropClaims(101.0)) == 5
+    assert state.apply(replicated_state.DropClaims(101.0)) == claims.MAX_CLAIMS_PER_DROP
+    assert state.apply(replicated_state.DropClaims(101.0)) == 5
     assert state.claims.oldest_at_wall_s() is None
 
 
 def test_each_grant_of_an_engine_increments_the_epoch(state):
-    epochs = [state.apply(agreed.GrantOwnership("e", box)).epoch for box in "aba"]
+    epochs = [state.apply(replicated_state.GrantOwnership("e", box)).epoch for box in "aba"]
     assert epochs == [1, 2, 3]
 
 
--- a/testing/core/test_cold.py
+++ b/testing/core/test_send_quotas.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from croftpulley.core import cold
+from croftpulley.core import send_quotas
 
 BOXES = tuple(f"box-{number}" for number in range(6))
 TAKES_PER_S = 4.0
@@ -19,10 +19,10 @@
     def __init__(self, takes_per_s=TAKES_PER_S):
         self.takes_per_s = takes_per_s
         self.now_s = 100.0
-        self.leader = cold.QuotaAllocator()
+        self.leader = send_quotas.QuotaAllocator()
         self.leader.begin(self.now_s - 10.0)
         self.live = BOXES
-        self.limiters = {box: cold.SendLimiter() for box in BOXES}
+        self.limiters = {box: send_quotas.SendLimiter() for box in BOXES}
         self.quotas = {box: (0, 0.0) for box in BOXES}
         self.unsent = []
         self.sent_s = []
@@ -30,7 +30,7 @@
     def renew(self, box, delay_s=0.0):
         """Renew the quota of a box; the request for it was sent ``delay_s`` earlier."""
         count = self.leader.renew_quota("e", self.takes_per_s, box, self.live, self.now_s)
-        self.quotas[box] = (count, self.now_s - delay_s + cold.QUOTA_TTL_S)
+        self.quotas[box] = (count, self.now_s - delay_s + send_quotas.QUOTA_TTL_S)
 
     def send(self, box, send_delay_s=0.0):
         """Send all that a box may send; each request leaves ``send_delay_s`` after its check."""
@@ -52,15 +52,15 @@
 
     def restart(self, box):
         """Restart a box, which loses its quota and the record of what it sent."""
-        self.limiters[box] = cold.SendLimiter.after_restart(self.now_s)
+        self.limiters[box] = send_quotas.SendLimiter.after_restart(self.now_s)
         self.quotas[box] = (0, 0.0)
 
     def change_leader(self):
-        self.leader = cold.QuotaAllocator()
+        self.leader = send_quotas.QuotaAllocator()
         self.leader.begin(self.now_s)
 
     def max_in_any_second(self):
-        window_s = cold.WINDOW_S
+        window_s = send_quotas.WINDOW_S
         return max(
             (sum(at_s <= x < at_s + window_s for x in self.sent_s) for at_s in self.sent_s),
             default=0,
@@ -116,7 +116,7 @@
 
 
 def test_cold_endpoints_are_open_to_different_boxes():
-    leader = cold.QuotaAllocator()
+    leader = send_quotas.QuotaAllocator()
     boxes = tuple(f"box-{number}" for number in range(40))
     open_to = {
         endpoint: frozenset(
@@ -129,7 +129,7 @@
 
 
 def test_expired_quotas_are_dropped():
-    leader = cold.QuotaAllocator()
+    leader = send_quotas.QuotaAllocator()
     leader.renew_quota("e", 4.0, "box-1", BOXES, 0.0)
     for box in BOXES:
         leader.renew_quota("e", 4.0, box, BOXES, 0.0)
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import strategies
 
-from croftpulley.core import agreed, suspect_messages, suspect_rules, suspects
+from croftpulley.core import replicated_state, suspect_messages, suspect_rules, suspects
 from croftpulley.storage import commands, state_codec
 
 NAMES = ("a", "b", "part-a", "part-b")
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def state():
-    return agreed.ReplicatedState()
+    return replicated_state.ReplicatedState()
 
 
 def crash(state, fingerprint, *lives, at_s=0.0, workspace="clinic"):
@@ -28,12 +28,14 @@
     crashes = tuple(
         suspect_messages.Crash(fingerprint, workspace, incarnation) for incarnation in lives
     )
-    return state.apply(agreed.ReportSuspects(suspect_messages.Report(crashes=crashes), at_s))
+    return state.apply(
+        replicated_state.ReportSuspects(suspect_messages.Report(crashes=crashes), at_s)
+    )
 
 
 def ask(state, fingerprint, trial, at_s=0.0, asker=CLINIC):
     """Ask for a trial."""
-    return state.apply(agreed.BeginTrial(fingerprint, trial, LIMIT_S, at_s, asker))
+    return state.apply(replicated_state.BeginTrial(fingerprint, trial, LIMIT_S, at_s, asker))
 
 
 def make_refused(state, asker=CLINIC):
@@ -48,12 +50,16 @@
 def end(state, fingerprint, trial, at_s=0.0, *, was_sent=True):
     """Report that a trial is over."""
     trial_ends = (suspect_messages.TrialEnd(fingerprint, trial, was_sent),)
-    state.apply(agreed.ReportSuspects(suspect_messages.Report(trial_ends=trial_ends), at_s))
+    state.apply(
+        replicated_state.ReportSuspects(suspect_messages.Report(trial_ends=trial_ends), at_s)
+    )
 
 
 def clear(state, *fingerprints, at_s=0.0):
     """Report complete responses to requests."""
-    state.apply(agreed.ReportSuspects(suspect_messages.Report(cleared=fingerprints), at_s))
+    state.apply(
+        replicated_state.ReportSuspects(suspect_messages.Report(cleared=fingerprints), at_s)
+    )
 
 
 def update_for(state, revision=0, at_s=0.0):
@@ -278,7 +284,7 @@
     def test_a_part_that_always_crashes_is_sent_at_most_three_times_after_the_fifth_crash(
         self, steps
     ):
-        state, at_s, crash_count, late = agreed.ReplicatedState(), 0.0, 0, 0
+        state, at_s, crash_count, late = replicated_state.ReplicatedState(), 0.0, 0, 0
         for number, (workspace, others, pause_s, is_reported) in enumerate(steps):
             at_s += pause_s
             answer = ask(
@@ -320,9 +326,9 @@
     cleared=strategies.lists(strategies.sampled_from(NAMES), max_size=1).map(tuple),
 )
 _COMMAND = strategies.one_of(
-    strategies.builds(agreed.ReportSuspects, _REPORT, strategies.floats(0, 2000)),
+    strategies.builds(replicated_state.ReportSuspects, _REPORT, strategies.floats(0, 2000)),
     strategies.builds(
-        agreed.BeginTrial,
+        replicated_state.BeginTrial,
         strategies.sampled_from(NAMES),
         strategies.sampled_from("123456"),
         strategies.just(LIMIT_S),
@@ -357,7 +363,7 @@
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
 def test_incremental_updates_give_the_same_as_a_full_one(steps):
-    state, router = agreed.ReplicatedState(), _Router()
+    state, router = replicated_state.ReplicatedState(), _Router()
     for command, is_updated in steps:
         state.apply(command)
         if is_updated:
@@ -370,13 +376,13 @@
 
 @hypothesis.given(strategies.lists(strategies.tuples(_COMMAND, strategies.booleans()), max_size=40))
 def test_a_restarted_control_box_computes_the_same_state(steps):
-    state, restarted = agreed.ReplicatedState(), agreed.ReplicatedState()
+    state, restarted = replicated_state.ReplicatedState(), replicated_state.ReplicatedState()
     for command, starts_again in steps:
         written = commands.encode(command)
         assert state.apply(command) == restarted.apply(commands.decode(written))
         if starts_again:
             text = state_codec.encode(restarted)
-            restarted = agreed.ReplicatedState()
+            restarted = replicated_state.ReplicatedState()
             state_codec.restore(text, restarted)
     assert restarted.suspects.all() == state.suspects.all()
     assert restarted.suspects.revision == state.suspects.revision
@@ -388,7 +394,7 @@
     )
 )
 def test_a_request_that_always_crashes_gets_a_limited_number_of_trials(steps):
-    state, now_s, granted = agreed.ReplicatedState(), 0.0, 0
+    state, now_s, granted = replicated_state.ReplicatedState(), 0.0, 0
     crash(state, "f", "e1", "e2")
     for number, (is_reported, pause_s) in enumerate(steps):
         now_s += pause_s
@@ -402,7 +408,7 @@
 
 def test_a_snapshot_without_suspects_can_be_restored(state):
     text = state_codec.encode(state)
-    restored = agreed.ReplicatedState()
+    restored = replicated_state.ReplicatedState()
     crash(restored, "f", "e1")
     state_codec.restore(text, restored)
     assert restored.suspects.all() == ()
--- a/testing/core/test_window.py
+++ b/testing/core/test_window.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftpulley.core import returns, window
+from croftpulley.core import retry_times, window
 
 
 @given(st.integers(1, 500), st.integers(0, 2000))
@@ -33,16 +33,19 @@
 
 @given(st.floats(0, 3600), st.floats(0, 60), st.floats(0, 1), st.integers(0, 9))
 def test_no_caller_retries_before_there_is_room_or_too_late(opens_in_s, left_s, chance, urgency):
-    position = returns.queue_position(urgency, chance)
-    retry_in_s = returns.wait_s(opens_in_s, left_s, returns.JITTER_SHARE, position)
+    position = retry_times.queue_position(urgency, chance)
+    retry_in_s = retry_times.wait_s(opens_in_s, left_s, retry_times.JITTER_SHARE, position)
     assert retry_in_s >= round(opens_in_s, 3)
-    assert retry_in_s <= round(max(opens_in_s, returns.MIN_WAIT_S) * (1 + returns.JITTER_SHARE), 3)
-    assert retry_in_s <= round(max(opens_in_s, returns.MIN_WAIT_S, left_s / 3), 3)
+    assert retry_in_s <= round(
+        max(opens_in_s, retry_times.MIN_WAIT_S) * (1 + retry_times.JITTER_SHARE), 3
+    )
+    assert retry_in_s <= round(max(opens_in_s, retry_times.MIN_WAIT_S, left_s / 3), 3)
 
 
 def test_the_most_urgent_callers_retry_first():
     waits_s = [
-        returns.wait_s(2.0, 60.0, 0.2, returns.queue_position(rank, 0.5)) for rank in range(10)
+        retry_times.wait_s(2.0, 60.0, 0.2, retry_times.queue_position(rank, 0.5))
+        for rank in range(10)
     ]
     assert waits_s == sorted(waits_s)
     assert len(set(waits_s)) == 10
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -7,7 +7,15 @@
 
 from croftpulley import clock as clocks
 from croftpulley.controllers import actors, router_state, traffic
-from croftpulley.core import calls, cold, halls, membership, retry_budget, selection, withdrawal
+from croftpulley.core import (
+    calls,
+    halls,
+    membership,
+    retry_budget,
+    selection,
+    send_quotas,
+    withdrawal,
+)
 from croftpulley.core import tables as core_tables
 from croftpulley.forwarding import base, departures, place, service
 from croftpulley.observe import metrics
@@ -112,7 +120,7 @@
 def test_what_was_counted_for_a_cold_endpoint_ends_with_its_allotment(leave, view, counts, clock):
     change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
-    clock.advance(cold.QUOTA_TTL_S)
+    clock.advance(send_quotas.QUOTA_TTL_S)
     assert bar_of(leave, placed) is service.Bar.COLD
 
 
--- a/testing/storage/test_record_log.py
+++ b/testing/storage/test_record_log.py
@@ -18,7 +18,7 @@
 
 from croftpulley import codes, errors
 from croftpulley.controllers import agreement
-from croftpulley.core import agreed, claims, membership, submissions
+from croftpulley.core import claims, membership, replicated_state, submissions
 from croftpulley.storage import commands, files, record_log
 
 ONE = b'{"n":"one"}'
@@ -227,14 +227,14 @@
 def test_a_command_that_fails_on_a_full_disk_has_no_effect(tmp_path, monkeypatch):
     monkeypatch.setattr(FullDisk, "full", False)
     log = agreement.SingleNodeLog(tmp_path, FullDisk)
-    log.propose(agreed.GrantOwnership("e", "a")).get()
+    log.propose(replicated_state.GrantOwnership("e", "a")).get()
     FullDisk.full = True
     with pytest.raises(OSError, match="no space"):
-        log.propose(agreed.GrantOwnership("e", "b")).get()
+        log.propose(replicated_state.GrantOwnership("e", "b")).get()
     FullDisk.full = False
     # The disk's content is unknown now, so the log must refuse further writes.
     with pytest.raises(OSError, match="failed before"):
-        log.propose(agreed.GrantOwnership("e", "c")).get()
+        log.propose(replicated_state.GrantOwnership("e", "c")).get()
     assert log.read().owners["e"].box == "a"
     log.stop()
     reopened = agreement.SingleNodeLog(tmp_path)
@@ -256,7 +256,7 @@
 
     log = agreement.SingleNodeLog(tmp_path, Watched)
     for number in range(20):
-        log.propose(agreed.GrantOwnership(f"e-{number}", "a")).get()
+        log.propose(replicated_state.GrantOwnership(f"e-{number}", "a")).get()
         assert Watched.synced_after_last_append
     log.stop()
 
@@ -264,15 +264,17 @@
 @pytest.mark.parametrize(
     "command",
     [
-        agreed.SubmitConfiguration(submissions.Submission("aigerim", 1, '{"models": []}')),
-        agreed.RegisterBox(membership.Box("a", "h", "127.0.0.1:1", "127.0.0.1:2", True)),
-        agreed.ForgetBox("a"),
-        agreed.GrantOwnership("e", "a"),
-        agreed.ClaimCall("clinic", "k", "digest", "c-1", 12.5),
-        agreed.RecordOutcome(
+        replicated_state.SubmitConfiguration(
+            submissions.Submission("aigerim", 1, '{"models": []}')
+        ),
+        replicated_state.RegisterBox(membership.Box("a", "h", "127.0.0.1:1", "127.0.0.1:2", True)),
+        replicated_state.ForgetBox("a"),
+        replicated_state.GrantOwnership("e", "a"),
+        replicated_state.ClaimCall("clinic", "k", "digest", "c-1", 12.5),
+        replicated_state.RecordOutcome(
             "clinic", "k", claims.Outcome(codes.RunState.RAN, 200, "x/y", b"\xff\x00")
         ),
-        agreed.DropClaims(1.5),
+        replicated_state.DropClaims(1.5),
     ],
 )
 def test_every_command_survives_encoding(command):
--- a/testing/storage/test_state_codec.py
+++ b/testing/storage/test_state_codec.py
@@ -3,7 +3,7 @@
 import pytest
 
 from croftpulley import codes
-from croftpulley.core import agreed, claims, membership, submissions, suspect_messages
+from croftpulley.core import claims, membership, replicated_state, submissions, suspect_messages
 from croftpulley.storage import state_codec
 
 CRASH = suspect_messages.Crash("f", "clinic", "e1")
@@ -12,36 +12,36 @@
 
 @pytest.mark.parametrize("register", [submissions.Submissions, submissions.HighestNumber])
 def test_a_state_survives_encoding(register):
-    state = agreed.ReplicatedState(submissions=register())
+    state = replicated_state.ReplicatedState(submissions=register())
     outcome = claims.Outcome(codes.RunState.RAN, 200, "x/y", b"\xff\x00")
     for command in (
-        agreed.SubmitConfiguration(submissions.Submission("aigerim", 7, '{"a": 1}')),
-        agreed.RegisterBox(BOX),
-        agreed.GrantOwnership("e", "box-1"),
-        agreed.ClaimCall("clinic", "k", "digest", "c-1", 12.5),
-        agreed.RecordOutcome("clinic", "k", outcome),
+        replicated_state.SubmitConfiguration(submissions.Submission("aigerim", 7, '{"a": 1}')),
+        replicated_state.RegisterBox(BOX),
+        replicated_state.GrantOwnership("e", "box-1"),
+        replicated_state.ClaimCall("clinic", "k", "digest", "c-1", 12.5),
+        replicated_state.RecordOutcome("clinic", "k", outcome),
     ):
         state.apply(command)
-    restored = agreed.ReplicatedState()
+    restored = replicated_state.ReplicatedState()
     state_codec.restore(state_codec.encode(state), restored)
     assert restored == state
 
 
 @pytest.mark.parametrize("register", [submissions.Submissions, submissions.HighestNumber])
 def test_an_empty_text_is_the_state_before_the_first_command(register):
-    state = agreed.ReplicatedState(submissions=register())
-    state.apply(agreed.SubmitConfiguration(submissions.Submission("aigerim", 7, "{}")))
-    state.apply(agreed.RegisterBox(BOX))
-    state.apply(agreed.GrantOwnership("e", "box-1"))
-    state.apply(agreed.ClaimCall("clinic", "k", "digest", "c-1", 12.5))
-    state.apply(agreed.ReportSuspects(suspect_messages.Report(crashes=(CRASH,)), 1.0))
+    state = replicated_state.ReplicatedState(submissions=register())
+    state.apply(replicated_state.SubmitConfiguration(submissions.Submission("aigerim", 7, "{}")))
+    state.apply(replicated_state.RegisterBox(BOX))
+    state.apply(replicated_state.GrantOwnership("e", "box-1"))
+    state.apply(replicated_state.ClaimCall("clinic", "k", "digest", "c-1", 12.5))
+    state.apply(replicated_state.ReportSuspects(suspect_messages.Report(crashes=(CRASH,)), 1.0))
     state_codec.restore("", state)
-    assert state == agreed.ReplicatedState(submissions=register())
+    assert state == replicated_state.ReplicatedState(submissions=register())
 
 
 def test_a_text_that_holds_no_state_is_refused():
     with pytest.raises(ValueError, match="holds no state"):
-        state_codec.restore('{"boxes": 3}', agreed.ReplicatedState())
+        state_codec.restore('{"boxes": 3}', replicated_state.ReplicatedState())
 
 
 def test_a_snapshot_in_the_older_format_is_read_without_loss():
@@ -51,7 +51,7 @@
         '"current": {"operator": "", "number": 9, "digest": "d", "version": 9}}, '
         '"claims": [], "boxes": [], "owners": []}'
     )
-    state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+    state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
     state_codec.restore(text, state)
     assert state.submissions.held == submissions.VersionedDocument(9, "{}9")
     assert state.submissions.history()[0].number == 9
@@ -60,4 +60,4 @@
 def test_a_register_in_an_unknown_format_is_refused():
     text = '{"register": {"rule": "HighestNumber"}, "claims": [], "boxes": [], "owners": []}'
     with pytest.raises(ValueError, match="holds no state"):
-        state_codec.restore(text, agreed.ReplicatedState())
+        state_codec.restore(text, replicated_state.ReplicatedState())
--- a/testing/storage/test_packed_text.py
+++ b/testing/storage/test_text_compression.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from croftpulley.core import agreed, submissions
-from croftpulley.storage import commands, packed_text, record_log, state_codec
+from croftpulley.core import replicated_state, submissions
+from croftpulley.storage import commands, record_log, state_codec, text_compression
 
 
 def configuration(routes):
@@ -18,7 +18,7 @@
 @pytest.fixture
 def submitted():
     document = configuration(3000) + "é"
-    return agreed.SubmitConfiguration(submissions.Submission("aigerim", 7, document))
+    return replicated_state.SubmitConfiguration(submissions.Submission("aigerim", 7, document))
 
 
 def test_a_long_command_is_compressed_and_read_back(submitted):
@@ -30,26 +30,26 @@
 
 
 def test_a_long_state_is_compressed_and_read_back(submitted):
-    state = agreed.ReplicatedState(submissions=submissions.HighestNumber())
+    state = replicated_state.ReplicatedState(submissions=submissions.HighestNumber())
     state.apply(submitted)
     text = state_codec.encode(state)
-    restored = agreed.ReplicatedState()
+    restored = replicated_state.ReplicatedState()
     state_codec.restore(text, restored)
     assert restored == state
     assert len(text) < len(submitted.submission.document_json) / 4
 
 
 def test_a_long_command_stored_uncompressed_by_an_older_version_is_read(submitted):
-    uncompressed = packed_text.unpack(commands.encode(submitted).decode())
+    uncompressed = text_compression.unpack(commands.encode(submitted).decode())
     assert uncompressed.startswith("{")
     assert commands.decode(uncompressed.encode()) == submitted
 
 
 @pytest.mark.parametrize("damage", ["!", "=", "AAAA"])
 def test_a_corrupt_text_is_refused(damage):
-    packed = packed_text.pack(configuration(300))
+    packed = text_compression.pack(configuration(300))
     with pytest.raises(ValueError, match="cannot be unpacked"):
-        packed_text.unpack(packed[: len(packed_text.PREFIX)] + damage + packed[60:])
+        text_compression.unpack(packed[: len(text_compression.PREFIX)] + damage + packed[60:])
 
 
 def test_a_compressed_command_is_a_valid_payload_of_a_record_log(submitted, tmp_path):
--- a/testing/test_surge.py
+++ b/testing/test_surge.py
@@ -6,7 +6,7 @@
 from concurrent import futures
 
 from conftest import wait_until
-from croftpulley.core import choice
+from croftpulley.core import rendezvous
 
 CHATS = 24
 ENGINES = 3
@@ -18,8 +18,8 @@
     names = [each.settings.name for each in fleet.engines]
     wanted = []
     for number in range(1000):
-        key = choice.chat_key("clinic", "triage", f"chat-{number}", [])
-        if choice.rendezvous_order(key, names)[0] == engine.settings.name:
+        key = rendezvous.chat_key("clinic", "triage", f"chat-{number}", [])
+        if rendezvous.rendezvous_order(key, names)[0] == engine.settings.name:
             wanted.append(f"chat-{number}")
     return wanted[:count]
 
--- a/testing/transport/test_packing.py
+++ b/testing/transport/test_packing.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from croftpulley import codes, errors
-from croftpulley.core import parts
+from croftpulley.core import configuration_transfer
 from croftpulley.transport import packing
 
 
@@ -27,6 +27,6 @@
 
 
 def test_a_text_that_is_too_long_is_not_unpacked(monkeypatch):
-    monkeypatch.setattr(parts, "MAX_TEXT_SIZE_BYTES", 100)
+    monkeypatch.setattr(configuration_transfer, "MAX_TEXT_SIZE_BYTES", 100)
     with pytest.raises(errors.CroftpulleyError, match="longer than 100 bytes"):
         packing.unpack(packing.pack("a" * 101))
