--- a/src/croftpulley/forwarding/__init__.py
+++ b/src/croftpulley/forwarding/__init__.py
@@ -1,5 +1,5 @@
-"""Requests passed on as they are: found a route, an endpoint, and one answer each.
+"""Forwards requests unchanged: each gets a route, an endpoint and one response.
 
-The body is opaque here. What the fleet must know of a request stands in headers whose names are a
-`vocabulary.Vocabulary`.
+The body is opaque here. The fleet reads what it must know of a request from headers, whose names
+are in a `vocabulary.Vocabulary`.
 """
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one endpoint: sent, counted in, and counted out when it is closed."""
+"""Sends one attempt to one endpoint and counts it as in flight until it is closed."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
 )
 
 LEAST_BUDGET_S = 0.02
-"""With less time left than this no endpoint can answer; it is not asked."""
+"""With less time left than this no endpoint can respond, so no attempt is sent."""
 
 
 @attrs.define
 class OpenAttempt:
-    """An attempt whose answer has begun: counted at its endpoint until it is closed.
+    """An attempt whose response has begun; it counts as in flight until it is closed.
 
-    ``on_close`` is called then, once, and ``on_event`` for each event of a stream.
+    ``on_close`` is called once, when it is closed, and ``on_event`` for each event of a stream.
+    ``reading_tokens`` are those that count as the engine's prefill until the first event.
     """
 
     endpoint: membership.Endpoint
@@ -44,18 +45,18 @@
     closed: bool = False
 
     def event_came(self) -> None:
-        """Note that an event of the answer has come."""
+        """Record that an event of the response has arrived."""
         self.prompt_is_read()
         self.on_event()
 
     def prompt_is_read(self) -> None:
-        """Note that the first event came: the prompt holds nobody up any more."""
+        """Stop counting the prompt as prefill; a second call does nothing."""
         tokens, self.reading_tokens = self.reading_tokens, 0
         if tokens:
             self.counts.end_reading(self.endpoint.key, tokens)
 
     def close(self) -> None:
-        """Free the connection and count the attempt out; a second call does nothing."""
+        """Free the connection and stop counting the attempt; a second call does nothing."""
         if not self.closed:
             self.closed = True
             self.answer.close()
@@ -65,7 +66,7 @@
 
 
 class Opener:
-    """Sends attempts."""
+    """Sends attempts to endpoints and keeps the counts of what is in flight."""
 
     def __init__(
         self,
@@ -90,15 +91,15 @@
     def open(
         self, exchange: base.Exchange, placed: place.Placed, last_event_id: str
     ) -> OpenAttempt:
-        """Send the request to an endpoint and return once its answer has begun.
+        """Send the request to an endpoint and return once the head of its response is there.
 
-        Raises `errors.CroftpulleyError`; nothing is counted at the endpoint then.
+        Raises `errors.CroftpulleyError`; the attempt then no longer counts as in flight.
         """
         try:
             return self._open(exchange, placed, last_event_id)
         except BaseException:
             if placed.departure is not None:
-                # Whatever has left has left by now.
+                # Nothing more is sent, so the time of sending is at most now.
                 self._counts.cold_leaves(placed.departure)
             raise
 
@@ -151,7 +152,7 @@
             target=exchange.request.target,
             headers=headers.to_endpoint(exchange, outgoing, self._names),
             body=exchange.request.body,
-            # The shared budget counts a repeat for so long as it may still arrive.
+            # The shared retry budget counts a repeat as long as it may still arrive.
             arrival_limit_s=self._counts.arrival_s if repeat is not None else None,
             on_leaving=leaving,
         )
--- a/src/croftpulley/forwarding/base.py
+++ b/src/croftpulley/forwarding/base.py
@@ -1,4 +1,4 @@
-"""What passes along the chain of a forwarded request."""
+"""The data types of the filter chain for forwarded requests."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardRequest:
-    """A request as it came.
+    """A request as received.
 
-    Header names are in lower case; ``target`` is the path and query as they were sent.
+    Header names are in lower case; ``target`` is the path and query as sent. ``caller_gone`` tells
+    whether the caller has disconnected.
     """
 
     method: str
@@ -40,7 +41,7 @@
 
     @property
     def host(self) -> str:
-        """The host that the caller named."""
+        """The Host header, empty if there is none."""
         return self.headers.get("host", "")
 
     @property
@@ -51,7 +52,7 @@
 
 @attrs.frozen(kw_only=True)
 class Hop:
-    """What a box that hands a request over says of it."""
+    """What the box that forwarded a request to this one says about it."""
 
     box: str
     configuration_version: int
@@ -59,13 +60,13 @@
 
 @attrs.define(kw_only=True, slots=False)
 class Exchange:
-    """One request on its way; the steps fill it in.
+    """The state of one request in the chain; the steps fill it in.
 
-    ``at_end`` holds what must happen when the reply's body has ended, however it ended. ``arm`` is
-    the name of the operators' arm that the request falls to, empty if there are none. ``repeat`` is
-    what the shared budget last said to sending this request once more. ``trial`` is the name of the
-    trial that the request is on, empty if it is on none, and ``tried_features`` what is tried.
-    ``hop`` is there if another box has handed the request over.
+    ``at_end`` holds callbacks for when the reply's body has ended, however it ended. ``arm`` names
+    the operators' experiment arm that the request is assigned to, empty if there are none.
+    ``repeat`` is the shared retry budget's last decision on this request. ``trial`` names the trial
+    that the request is sent as, empty if it is none, and ``tried_features`` are the suspected
+    features under trial. ``hop`` is set if another box forwarded the request to this one.
     """
 
     request: ForwardRequest
@@ -87,37 +88,37 @@
 
     @property
     def known_route(self) -> fleet.Route:
-        """The route, for the steps after the one that finds it."""
+        """The route; raises `RuntimeError` before the step that finds it has run."""
         if self.route is None:
             raise RuntimeError("the request has no route yet")
         return self.route
 
     @property
     def pool(self) -> str:
-        """The pool that the request goes to, for the steps after the one that finds its route."""
+        """The pool that serves the request; raises `RuntimeError` before its route is known."""
         if self.origin is not None:
             return self.origin.pool
         return tables.pool_for(self.known_route, self.stream.request_id)
 
     @property
     def takes_up(self) -> bool:
-        """Tell whether it takes a stream up that an earlier request began."""
+        """Tell whether it resumes a stream that an earlier request began."""
         return self.known_route.is_resumable_stream and bool(self.facts.last_event_id)
 
     @property
     def stream(self) -> origins.StreamId:
-        """The stream that it begins or takes up."""
+        """The stream that it begins or resumes."""
         resumes = self.facts.resumes if self.takes_up else ""
         return origins.StreamId(self.workspace_name, resumes or self.facts.request_id)
 
     @property
     def version(self) -> str | None:
-        """The version of endpoints that may be asked, ``None``: any."""
+        """The software version that endpoints must have, ``None`` for any."""
         return self.origin.version if self.origin is not None else None
 
     @property
     def home_regions(self) -> frozenset[str] | None:
-        """Where it may run, by its route and its workspace; ``None``: anywhere."""
+        """The regions in which its route and workspace let it run, ``None`` for any."""
         of_workspace = self.workspace.home_regions if self.workspace else ()
         return halls.allowed_regions(self.known_route.home_regions, of_workspace)
 
@@ -133,9 +134,7 @@
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What names the request when it comes again; for the steps after the one that finds whose
-        it is.
-        """
+        """Identifies the request when it is sent again; valid once its workspace is known."""
         request = self.request
         return fingerprints.fingerprint(
             self.workspace_name, request.method, request.host, request.target, request.body
@@ -143,7 +142,7 @@
 
     @functools.cached_property
     def part_features(self) -> tuple[str, ...]:
-        """The features that the shared parts of its prompt are, each once."""
+        """The features of the shared parts of its prompt, without duplicates."""
         return tuple(
             dict.fromkeys(
                 fingerprints.part_feature(each.part_id) for each in self.facts.shared_prefix
@@ -151,14 +150,14 @@
         )
 
     def end_if_over(self, failure: errors.CroftpulleyError) -> None:
-        """Raise ``failure`` if no further attempt can help."""
+        """Raise ``failure`` if the request is cancelled or its deadline has passed."""
         if self.token.reason is not None:
             raise failure
 
 
 @attrs.frozen
 class ForwardReply:
-    """An endpoint's answer for the caller; whoever reads it must end the exchange's ``at_end``."""
+    """The response for the caller; whoever reads its body must close the exchange's ``at_end``."""
 
     status: int
     headers: Headers
@@ -169,4 +168,4 @@
 
 
 class ForwardFilter(steps.Step[Exchange, ForwardReply]):
-    """One step of the chain of forwarded requests."""
+    """One step of the filter chain for forwarded requests."""
--- a/src/croftpulley/forwarding/by_peer.py
+++ b/src/croftpulley/forwarding/by_peer.py
@@ -1,4 +1,4 @@
-"""The step that hands requests to other boxes while this one reaches no endpoint of their pool."""
+"""The step that forwards requests to other boxes if this one reaches no endpoint of a pool."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class ByPeer(base.ForwardFilter):
-    """Passes a request on, and hands it over where no endpoint of its pool is reached from here.
+    """Forwards a request to another box if this one reaches no endpoint of its pool.
 
-    A request that came by way of another box is refused instead.
+    A request that another box forwarded to this one is refused instead.
     """
 
     def __init__(self, known: reach.Reach, ways: hops.Hops) -> None:
@@ -19,7 +19,7 @@
         self._ways = ways
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
-        """Return the answer, whoever had it."""
+        """Return an endpoint's or another box's response; raises `errors.CroftpulleyError`."""
         if self._is_lost(exchange):
             reply = self._taken_elsewhere(exchange)
             if reply is not None:
@@ -35,20 +35,21 @@
         return exchange.pool in self._known.lost
 
     def _may_hand_over(self, exchange: base.Exchange) -> bool:
-        """Tell whether no endpoint that was asked was reached, and another box may reach one.
+        """Tell whether no attempt reached an endpoint, and another box may reach one.
 
-        Where this box reached any other endpoint lately, those that were asked have ended.
+        If this box recently reached any other endpoint of the pool, those that it tried have ended.
         """
         log = exchange.attempts.attempts
         is_unsent = bool(log) and all(each.phase is attempts.Phase.UNSENT for each in log)
-        # A suspect is tried by the box that has the permission.
+        # Only the box with the permission may send the trial of a suspect.
         is_free = exchange.token.reason is None and not exchange.trial
         return is_unsent and is_free and not self._known.is_reached(exchange.pool)
 
     def _taken_elsewhere(self, exchange: base.Exchange) -> base.ForwardReply | None:
-        """Return another box's answer, ``None`` if this one should ask endpoints all the same.
+        """Return another box's response, ``None`` if this box should try endpoints all the same.
 
-        Where nobody else takes the request, and connections are made, endpoints may just be slow.
+        If no other box accepts the request, but connections to endpoints are established, the
+        endpoints may just be slow.
         """
         try:
             return self._elsewhere(exchange)
--- a/src/croftpulley/forwarding/chain.py
+++ b/src/croftpulley/forwarding/chain.py
@@ -1,4 +1,4 @@
-"""The chain of forwarded requests, in its order."""
+"""The filter chain for forwarded requests, in its order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class Steps:
-    """One of each step, set up by the daemon."""
+    """The steps of the chain, created by the daemon."""
 
     observe: observe.Observe
     limit_unread: rules.LimitUnread
@@ -23,7 +23,7 @@
 
 
 def forward_chain(steps: Steps) -> base.Proceed:
-    """Return the chain."""
+    """Return a function that runs a request through all steps."""
     return linking.link(
         (
             steps.observe,
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -1,7 +1,8 @@
-"""The last look before a request's first byte leaves, the same for whatever may hold it back.
+"""The check just before the first byte of a request is sent.
 
-A request is placed before its connection is there, which may take a second, and what its router
-knows may be other by then: the endpoint asked for rest, leaves, was evacuated, or turned cold.
+An endpoint is chosen before the connection is established, which may take a second. By then the
+router's state may have changed: the endpoint asked for rest (a 503 with Retry-After), shuts down,
+was evacuated, or turned cold.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class HeldBackError(errors.CroftpulleyError):
-    """Nothing left for an endpoint, which may be sent no requests any more."""
+    """Nothing was sent, since the endpoint may no longer be sent requests."""
 
     def __init__(self, placed: place.Placed, bar: service.Bar) -> None:
         super().__init__(codes.ResultCode.DECLINED, f"{placed.endpoint.key}: {bar.value}")
@@ -28,7 +29,7 @@
 
 
 class LastLook:
-    """Lets a request leave, or holds it back."""
+    """Checks whether an endpoint may still be sent a request that was placed there."""
 
     def __init__(
         self,
@@ -47,9 +48,9 @@
     def before(
         self, exchange: base.Exchange, placed: place.Placed, repeat: retry_budget.Repeat | None
     ) -> Callable[[], None]:
-        """Return what to call before the first byte leaves, and once more after the last.
+        """Return a callback for just before the first byte is sent and again after the last.
 
-        The first call raises `HeldBackError` if nothing may leave.
+        Its first call raises `HeldBackError` if nothing may be sent.
         """
         has_looked = False
 
@@ -91,7 +92,7 @@
         if listed is None:
             return service.bar_by_list(members, state, endpoint.key)
         if listed.version != endpoint.version:
-            # What the answer is remembered by would not be what wrote it.
+            # The response would be recorded under a version that did not produce it.
             return service.Bar.OTHER_VERSION
         now_s = self._clock.monotonic_s()
         if self._counts.is_withdrawn(endpoint.key):
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""The events of a streamed answer, which goes on at another endpoint where the route allows it."""
+"""The events of a streamed response, resumed at another endpoint if the route allows it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EventStream:
-    """Passes on whole events, so that a stream can go on behind the last one."""
+    """Relays only complete events, so that a stream can be resumed after the last one."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
     def events(
         self, exchange: base.Exchange, current: attempt.OpenAttempt, tried: set[str]
     ) -> Iterator[bytes]:
-        """Yield whole events from ``current`` and those that follow it; closes each.
+        """Yield complete events from ``current`` and from attempts that resume it; close each.
 
-        Raises `errors.CroftpulleyError` if the stream broke off and does not go on; before the
-        first event no other endpoint is asked here.
+        Raises `errors.CroftpulleyError` if the stream broke off and is not resumed. Before its
+        first event it is never resumed here.
         """
         cutter = event_splitter.EventSplitter()
         cutter.last_id = exchange.facts.last_event_id
@@ -58,7 +58,7 @@
                         raise
                     self._failover.broke_off(exchange, current, failure)
                     if not cutter.last_id:
-                        # Events without ids: nothing says where to go on.
+                        # Events without ids: there is no position to resume from.
                         raise
                     self._retry.go_on_or_raise(exchange, failure, tried)
                 cutter.drop_partial()
@@ -68,7 +68,7 @@
             current.close()
 
     def _bind(self, exchange: base.Exchange, current: attempt.OpenAttempt) -> None:
-        """Have all further attempts go where the first event came from, and remember that."""
+        """Bind further attempts to the pool and version of the first event, and remember them."""
         route = exchange.known_route
         if not route.is_resumable_stream:
             return
@@ -82,7 +82,7 @@
 def _whole_events(
     cutter: event_splitter.EventSplitter, current: attempt.OpenAttempt
 ) -> Iterator[bytes]:
-    """Yield what is whole; raises `errors.CroftpulleyError` if the answer ends within an event."""
+    """Yield complete events; raises `errors.CroftpulleyError` if the response ends within one."""
     for chunk in current.answer.chunks():
         whole = cutter.feed(chunk)
         if whole:
--- a/src/croftpulley/forwarding/failover.py
+++ b/src/croftpulley/forwarding/failover.py
@@ -1,4 +1,4 @@
-"""One endpoint after another, until one has begun an answer that is the caller's."""
+"""Tries one endpoint after another until one begins a response for the caller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Failover:
-    """Chooses, sends and judges until an answer is taken or no other endpoint may be asked."""
+    """Sends attempts until a response is accepted or no other endpoint may be tried."""
 
     def __init__(
         self,
@@ -41,11 +41,12 @@
     def begin(
         self, exchange: base.Exchange, tried: set[str], resume_after: str = ""
     ) -> attempt.OpenAttempt:
-        """Send to endpoints until one has begun an answer that is not a refusal to run.
+        """Send to endpoints until one has begun a response for the caller.
 
-        With ``resume_after``, the id of the last event that was passed on, only a success will do:
-        the head of the answer went out with the first endpoint's. Endpoints in ``tried`` are left
-        out, and those that are asked are added. Raises `errors.CroftpulleyError`.
+        With ``resume_after``, the id of the last event that was relayed, only a success is
+        accepted: the caller already has the head of the first endpoint's response. Endpoints in
+        ``tried`` are left out, and those that are tried are added. Raises
+        `errors.CroftpulleyError` if no other endpoint may be tried.
         """
         last_event_id = resume_after or exchange.facts.last_event_id
         while True:
@@ -59,7 +60,7 @@
         current: attempt.OpenAttempt,
         failure: errors.CroftpulleyError,
     ) -> None:
-        """Close an attempt whose answer broke off, and note that unless we ended it ourselves."""
+        """Close an attempt whose response broke off; count it as failed unless it was cancelled."""
         current.close()
         if exchange.token.reason is None:
             self._reach.failed(current.endpoint)
@@ -68,13 +69,13 @@
     def _open(
         self, exchange: base.Exchange, tried: set[str], last_event_id: str
     ) -> attempt.OpenAttempt:
-        """Send to endpoints until one has begun an answer, whatever it says."""
+        """Send to endpoints until one has begun a response, whatever its status."""
         while True:
             placed = self._place(exchange, tried)
             try:
                 return self._opener.open(exchange, placed, last_event_id)
             except departures.HeldBackError:
-                # Nothing left, and the endpoint has done nothing wrong.
+                # Nothing was sent, and this is no failure of the endpoint.
                 continue
             except errors.CroftpulleyError as failure:
                 self._reach.failed(placed.endpoint)
@@ -98,9 +99,9 @@
         *,
         resumes: bool,
     ) -> bool:
-        """Tell whether the answer is the caller's; if not, close it.
+        """Tell whether the response goes to the caller; if not, close the attempt.
 
-        Raises `errors.CroftpulleyError` if it is not and no other endpoint may be asked.
+        Raises `errors.CroftpulleyError` if it does not and no other endpoint may be tried.
         """
         verdict = self._judge.verdict(exchange, current.answer)
         failed = verdict is verdicts.Verdict.FAILED
--- a/src/croftpulley/forwarding/failures.py
+++ b/src/croftpulley/forwarding/failures.py
@@ -1,4 +1,4 @@
-"""Failed attempts: what the caller is told in the end, and the log lines on the way."""
+"""The error that a caller gets after failed attempts, and the log lines about attempts."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 def final(exchange: base.Exchange, failure: errors.CroftpulleyError) -> errors.CroftpulleyError:
-    """Make what the caller is told: of all attempts, and 503 only if none can have run.
+    """Return the error for the caller: its run state covers all attempts, not just the last one.
 
-    ``failure`` may be of a kind that is told otherwise than by what is known of all attempts.
+    A 503 is returned only if no attempt can have run. The code of ``failure`` is replaced if the
+    request was cancelled or if it contradicts the run state of all attempts.
     """
     run_state = exchange.attempts.run_state
     code = failure.code
@@ -55,7 +56,7 @@
 
 
 def log_repeat(exchange: base.Exchange, failure: errors.CroftpulleyError) -> None:
-    """Log that another endpoint is asked after a failure."""
+    """Log that the request is sent to another endpoint after a failure."""
     _log_decision(
         exchange,
         events.Event.REQUEST_REPEATED,
@@ -65,7 +66,7 @@
 
 
 def log_held_back(exchange: base.Exchange) -> None:
-    """Log that no other endpoint is asked since the shared budget has no repeat left."""
+    """Log that the request is not repeated, since the shared retry budget is used up."""
     _log_decision(exchange, events.Event.REPEAT_HELD_BACK)
 
 
@@ -82,7 +83,7 @@
 
 
 def _budget(exchange: base.Exchange) -> dict[str, Any]:
-    """Return what decided on a repeat; nothing where none was asked for."""
+    """Return the log fields of the retry budget's decision; empty if it was not consulted."""
     if exchange.repeat is None:
         return {}
     return {
--- a/src/croftpulley/forwarding/headers.py
+++ b/src/croftpulley/forwarding/headers.py
@@ -1,4 +1,4 @@
-"""Headers of a forwarded request: what they say, and what goes on to the endpoint and back."""
+"""Parses the headers of forwarded requests and selects those to pass on in each direction."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def facts(headers: Mapping[str, str], names: vocabulary.Vocabulary) -> calls.CallFacts:
-    """Read what the fleet must know of a request."""
+    """Parse what the fleet must know of a request from its headers."""
     return calls.CallFacts(
         request_id=headers.get(names.request_id, ""),
         key=headers.get(names.key, ""),
@@ -26,19 +26,19 @@
 
 @attrs.frozen(kw_only=True)
 class Outgoing:
-    """What one attempt says of itself to the endpoint."""
+    """What the headers of one attempt tell the endpoint."""
 
     endpoint: membership.Endpoint
     budget_s: float
     last_event_id: str
     cache_from: str = ""
-    """The address of an engine that holds what this one lacks of the prompt."""
+    """The address of an engine whose cache holds the part of the prompt that this one lacks."""
 
 
 def to_endpoint(
     exchange: base.Exchange, outgoing: Outgoing, names: vocabulary.Vocabulary
 ) -> dict[str, str]:
-    """Return the headers for the endpoint: the caller's, less what is for this box, plus ours."""
+    """Return the headers for the endpoint: the caller's own ones and those that this box sets."""
     headers = {
         name: value
         for name, value in of_request(exchange.request).items()
@@ -58,16 +58,16 @@
 
 
 def of_request(request: base.ForwardRequest) -> dict[str, str]:
-    """Return the headers that concern the request and not the connection it came on."""
+    """Return the end-to-end headers of a request, without those of the connection."""
     named = _named_by_connection(request.headers.get("connection", ""))
     left_out = ownership.OF_ONE_CONNECTION | named
     return {name: value for name, value in request.headers.items() if name not in left_out}
 
 
 def urgency(exchange: base.Exchange) -> int:
-    """Return 0 to 9: the workspace's priority comes before the route's.
+    """Return a request's urgency, from 0 (highest) to 9; the workspace's priority comes first.
 
-    Three ranks of routes fit into each rank of workspaces; what goes beyond shares the last.
+    Each workspace priority has room for three route priorities; higher numbers share the last.
     """
     of_workspace = exchange.workspace.priority if exchange.workspace else 0
     of_route = min(2, exchange.known_route.priority)
@@ -75,7 +75,7 @@
 
 
 def to_caller(headers: Iterable[tuple[str, str]]) -> base.Headers:
-    """Return an endpoint's headers for the caller; the transfer's own are set anew."""
+    """Return the end-to-end headers of a response; those of the connection are set anew."""
     pairs = list(headers)
     connection = ",".join(value for name, value in pairs if name.lower() == "connection")
     left_out = ownership.OF_ONE_CONNECTION | _named_by_connection(connection)
@@ -83,5 +83,5 @@
 
 
 def _named_by_connection(value: str) -> frozenset[str]:
-    """Return the headers that a Connection header declares to be of one connection."""
+    """Return the names that a Connection header lists as hop-by-hop headers."""
     return frozenset(name.strip().lower() for name in value.split(",") if name.strip())
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -1,9 +1,9 @@
-"""Handing a request to another box, where this one reaches no endpoint of its pool.
+"""Forwards a request to another box if this one reaches no endpoint of its pool.
 
-The other box gets the request as the caller sent it, checks it as if the caller had come there and
-has all the say on where it goes; its answer is passed on as it is. It hands nothing on itself:
-there is one hop, never two. A hop needs no proof of who sends it, as it may do no more than a
-caller may.
+The other box gets the request as the caller sent it, checks it like a request from a caller and
+alone decides where it goes; its response is returned unchanged. It does not forward the request to
+a further box: there is at most one hop. A hop is not authenticated, since it has no more rights
+than a caller.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 _LOG = logging.getLogger(__name__)
 BOX = "x-hop-box"
-"""The header with the name of the box that hands a request over."""
+"""The header with the name of the box that forwards a request."""
 VERSION = "x-hop-configuration"
-"""The header with the version of the configuration that this box has read the request by."""
+"""The header with the configuration version by which that box handled the request."""
 REFUSED = "x-hop-refused"
-"""The header of an answer to a hop: nothing ran, and another box should be asked."""
+"""The header of a response to a hop: nothing ran, and another box should be tried."""
 ELSEWHERE = frozenset(
     {
         codes.ResultCode.TOO_MANY_STREAMS,
@@ -37,21 +37,23 @@
         codes.ResultCode.OUT_OF_REACH,
     }
 )
-"""What a box refuses for its own sake: others may take the request."""
+"""Refusals that only concern the box itself: other boxes may accept the request."""
 HEADERS_ADDED = 3
-"""By a hop, at most: the two above, and the time that is left where the caller named none."""
+"""The most headers that a hop adds: the two request headers above, and the remaining time if the
+caller gave none."""
 HEADER_BYTES = 160
-"""Room for each of them beyond what callers may send: a box's name has 100 characters at most."""
+"""The size allowed for each of them on top of the limit for callers; a box name has at most 100
+characters."""
 MOST_ASKED = 3
-"""Boxes that one request is handed to at most, one after another."""
+"""The most boxes that one request is forwarded to, one after another."""
 CONNECT_TIMEOUT_S = 0.25
-"""For a connection to another box: a lost one must leave time for the next."""
+"""For a connection to another box: an unreachable one must leave time for the next."""
 SILENT_LIMIT_S = 1.0
-"""How long another box may acknowledge nothing, asked each second, before it is taken for lost."""
+"""How long another box, probed every second, may acknowledge nothing before it counts as lost."""
 
 
 def read(given: Mapping[str, str]) -> base.Hop:
-    """Read what a hop says; ``given`` has names in lower case."""
+    """Parse the headers of a hop; ``given`` has names in lower case. Invalid versions read as 0."""
     version = given.get(VERSION, "")
     return base.Hop(
         box=given.get(BOX, "")[:100],
@@ -60,13 +62,13 @@
 
 
 def is_for_others(exchange: base.Exchange, failure: errors.CroftpulleyError) -> bool:
-    """Tell whether another box may take a request that this one, handed it, has refused."""
+    """Tell whether another box may accept a forwarded request that this box has refused."""
     is_not_run = exchange.attempts.run_state is codes.RunState.NOT_RUN
     return is_not_run and failure.code in ELSEWHERE
 
 
 class Hops:
-    """The way to endpoints by other boxes."""
+    """Forwards requests to other boxes."""
 
     def __init__(
         self,
@@ -90,16 +92,16 @@
         self._peers = peers.Peers(box, hall)
 
     def reply(self, exchange: base.Exchange) -> base.ForwardReply:
-        """Return another box's answer.
+        """Forward a request to other boxes, one after another, and return the first's response.
 
-        Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, where no box takes it.
+        Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, if no box accepts it.
         """
         for peer in self._choose(exchange):
             answer = self._ask(exchange, peer)
             if answer is not None:
                 self._took(exchange, peer)
                 return self._passed_on(exchange, answer)
-        # All that was asked said that it did nothing.
+        # Every box that was tried ran nothing.
         raise errors.CroftpulleyError(
             codes.ResultCode.OUT_OF_REACH,
             f"pool {exchange.pool!r}: reached neither from here nor by way of other boxes",
@@ -111,15 +113,16 @@
         reaching = [each for each in state.boxes if told is None or each.name in told]
         homes = exchange.home_regions
         if homes is not None:
-            # The request is here already; it goes on to no other region but its homes.
+            # The request is already in this region; beyond it, only its home regions may get it.
             reaching = self._regions.filter_by_region(reaching, homes | {self._region})
         now_s = self._clock.monotonic_s()
         return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
 
     def _ask(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
-        """Return a box's answer, ``None`` where it took nothing and another may be asked.
+        """Return a box's response, ``None`` if it ran nothing and another may be tried.
 
-        Raises `errors.CroftpulleyError` where the box may have passed the request on.
+        Raises `errors.CroftpulleyError` if the box may have sent the request to an endpoint, or if
+        the request was cancelled or has no time left.
         """
         exchange.token.check()
         left_s = exchange.deadline_s - self._clock.monotonic_s()
@@ -168,7 +171,7 @@
         return sender.begin(link, outgoing, handed)
 
     def _headers(self, exchange: base.Exchange, left_s: float) -> dict[str, str]:
-        """Return the caller's headers, with the time that is left and what a hop says."""
+        """Return the caller's headers, with the remaining time and the headers of a hop."""
         given = headers.of_request(exchange.request)
         version = exchange.state.configuration.version
         told = {BOX: self._box, VERSION: str(version)}
--- a/src/croftpulley/forwarding/sender.py
+++ b/src/croftpulley/forwarding/sender.py
@@ -1,4 +1,4 @@
-"""Sending one attempt to one endpoint."""
+"""Sends one attempt to one endpoint and reads its response."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 _READ_SIZE_BYTES = 65_536
 WHOLE_ANSWER_BYTES = 16 * 1024 * 1024
-"""The largest answer that is read to its end before the caller gets its first byte."""
+"""The largest response that is read completely before the caller gets its first byte."""
 
 
 @attrs.frozen(kw_only=True)
 class Order:
     """One attempt as it is sent.
 
-    With an ``arrival_limit_s`` the connection ends if the endpoint does not receive the request
-    within that time; ``on_leaving`` is called just before its first byte leaves and once more when
-    the last one has left.
+    With an ``arrival_limit_s`` the connection is closed if the endpoint does not receive the
+    request within that time. ``on_leaving`` is called just before the first byte is sent and again
+    after the last one.
     """
 
     endpoint: membership.Endpoint
@@ -36,22 +36,22 @@
 
 
 class Answer(abc.ABC):
-    """An endpoint's answer, once its head is there."""
+    """A response whose head has been read."""
 
     status: int
     headers: base.Headers
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the status says that the request was carried out."""
+        """Tell whether the status means that the request was carried out."""
         return self.status in verdicts.SUCCESS_STATUSES
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty if it is not there; ``name`` is in lower case."""
+        """Return a header's first value, empty if it is absent; ``name`` is in lower case."""
         return next((value for each, value in self.headers if each.lower() == name), "")
 
     def values(self, name: str) -> list[str]:
-        """Return a header's values, each as often as it stands there; as for `header`."""
+        """Return all of a header's values, with duplicates; ``name`` is in lower case."""
         return [value for each, value in self.headers if each.lower() == name]
 
     @abc.abstractmethod
@@ -60,22 +60,22 @@
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Free the connection; what is not read is lost. A second call does nothing."""
+        """Free the connection and discard unread data; a second call does nothing."""
 
 
 class Sender(abc.ABC):
-    """The way from this box to an endpoint."""
+    """Sends attempts from this box to endpoints."""
 
     @abc.abstractmethod
     def send(self, order: Order, attempt: attempts.Attempt, token: cancel.CancelToken) -> Answer:
-        """Send an attempt and return its answer; moves ``attempt`` on.
+        """Send an attempt and return its response once the head is there.
 
-        Raises `errors.CroftpulleyError`.
+        Updates the phase of ``attempt``. Raises `errors.CroftpulleyError`.
         """
 
 
 class DirectSender(Sender):
-    """Sends straight to the endpoint, over a connection of its own."""
+    """Sends each attempt over a new connection to the endpoint."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._way = way
 
     def send(self, order: Order, attempt: attempts.Attempt, token: cancel.CancelToken) -> Answer:
-        """Send an attempt."""
+        """Send an attempt and return its response; see `Sender.send`."""
         target = connection.Target(
             order.endpoint.address,
             self._connect_timeout_s,
@@ -112,7 +112,7 @@
 def begin(
     exchange: connection.Exchange, request: connection.HttpRequest, attempt: attempts.Attempt
 ) -> Answer:
-    """Send a request and return its answer once the head is there.
+    """Send a request and return its response once the head is there.
 
     Raises `errors.CroftpulleyError`.
     """
@@ -148,7 +148,7 @@
 
 
 def read_whole(answer: Answer, size_limit_bytes: int) -> bytes:
-    """Read an answer to its end; raises `errors.CroftpulleyError` if it breaks off or is larger."""
+    """Return a response's body; raises `errors.CroftpulleyError` if it breaks off or is larger."""
     parts = []
     size_bytes = 0
     for chunk in answer.chunks():
--- a/src/croftpulley/forwarding/service.py
+++ b/src/croftpulley/forwarding/service.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a pool are in service, and what a caller is told when none may be asked."""
+"""Which endpoints of a pool are in service, and the error if none is available."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from croftpulley.core import halls, membership, selection
 
 UNLISTED_RETRY_S = 0.5
-"""When to come back to a box without a list: it has one within a renewal or two, 0.25 s each."""
+"""Retry-After of a box that has no endpoint list yet. It gets one within one or two renewals of
+0.25 s each."""
 
 
 class Bar(enum.Enum):
-    """Why an endpoint may be sent no requests now."""
+    """Why an endpoint may not be sent requests now; the values are in logs and metrics."""
 
     UNLISTED = "unlisted"
     LEAVING = "leaving"
-    """By the list."""
+    """Listed as shutting down."""
     EVACUATED = "evacuated"
     OTHER_VERSION = "other_version"
-    """Its software is not of the version that wrote the stream's first event."""
+    """Its software version is not the one that wrote the stream's first event."""
     WITHDRAWN = "withdrawn"
-    """By its own words: it wants rest, or leaves."""
+    """It announced that it needs rest or shuts down."""
     COLD = "cold"
-    """It is cold, and this box may send it nothing more for now."""
+    """It is cold, and this box has used up its quota for it."""
 
 
 @attrs.frozen
 class Members:
-    """The endpoints of a pool that requests with the same homes may be asked of, by their keys.
+    """The endpoints of a pool in the home regions of a request, by key.
 
     ``by_key`` has all that are listed, ``in_service`` those that may get requests. ``version`` is
-    the one that binds, ``None`` if none does.
+    the software version that is required, ``None`` for any.
     """
 
     by_key: dict[str, membership.Endpoint]
@@ -44,9 +45,9 @@
 
 
 class Service:
-    """The members of all pools, looked up once for each list and evacuation, not at each request.
+    """Caches the members of all pools until the endpoint list or the evacuated halls change.
 
-    Threads that look up at the same time do so twice; what they come to is the same.
+    Concurrent threads may compute the same entry twice, with the same result.
     """
 
     def __init__(self, regions: halls.HallRegions) -> None:
@@ -62,7 +63,7 @@
         homes: frozenset[str] | None,
         version: str | None = None,
     ) -> Members:
-        """Return the members of a pool for requests that run in ``homes``, at ``version``, only."""
+        """Return a pool's members in the regions ``homes``; in service only those of ``version``."""
         if self._endpoints is not state.endpoints or self._evacuated is not state.evacuated:
             self._members = {}
             self._endpoints = state.endpoints
@@ -92,7 +93,7 @@
 
 
 def bar_by_list(members: Members, state: router_state.RouterState, key: str) -> Bar:
-    """Return why an endpoint is not among those in service."""
+    """Return why an endpoint is not in service; for those that are not in ``in_service``."""
     endpoint = members.by_key.get(key)
     if endpoint is None:
         return Bar.UNLISTED
@@ -105,9 +106,9 @@
 class Survey:
     """The endpoints in service for a request at one moment.
 
-    ``held_tokens`` is what each engine likely holds of its prompt, those not in service too, and
-    ``most_load`` how many requests one may have for this one to go there. Where endpoints are
-    brittle none gets more than it runs at once.
+    ``held_tokens`` is how many tokens of the prompt each engine likely has in its cache, including
+    engines not in service. An endpoint with ``most_load`` requests or more is not sent this one.
+    Brittle endpoints also get no more requests than they have slots.
     """
 
     state: router_state.RouterState
@@ -119,20 +120,20 @@
     is_brittle: bool = False
 
     def is_full(self, candidate: selection.Candidate) -> bool:
-        """Tell whether an endpoint has as many requests as it should have."""
+        """Tell whether an endpoint has reached its maximum load for this request."""
         slots = self.members.by_key[candidate.name].slots if self.is_brittle else 0
         most_load = min(self.most_load, slots) if slots else self.most_load
         return candidate.is_full or candidate.load >= most_load
 
     def is_withdrawn(self, candidate: selection.Candidate) -> bool:
-        """Tell whether an endpoint wants no requests from this box, by its own words."""
+        """Tell whether an endpoint announced that it takes no requests from this box now."""
         return self.now_s < candidate.withdrawn_until_s
 
     @property
     def opens_in_s(self) -> float:
-        """When the first of the endpoints takes requests by its own words.
+        """The time until the first endpoint takes requests again, by what endpoints announced.
 
-        That is 0 where one does now, and infinite where all leave or there is none.
+        It is 0 if one takes requests now, and infinite if all shut down or there are none.
         """
         untils_s = (each.withdrawn_until_s for each in self.candidates)
         return max(0.0, min(untils_s, default=float("inf")) - self.now_s)
@@ -144,7 +145,7 @@
     members: Members,
     homes_bind: frozenset[str] | None,
 ) -> errors.CroftpulleyError:
-    """Make the refusal of a request for which nobody is in service, or nobody is left to ask."""
+    """Return the error for a request with no endpoint in service, or none left to try."""
     code = codes.ResultCode.NO_ENGINE
     if not state.endpoints:
         return errors.CroftpulleyError(
--- a/testing/forwarding/test_cold_departures.py
+++ b/testing/forwarding/test_cold_departures.py
@@ -1,4 +1,4 @@
-"""Requests to cold endpoints that come to nothing give their place back."""
+"""Requests to cold endpoints that are never sent free their place in the quota."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return made
 
 
-def test_a_request_whose_time_is_over_before_it_leaves_holds_no_place(counts, clock):
+def test_a_request_that_times_out_before_it_is_sent_frees_its_quota(counts, clock):
     departure = counts.take_cold("e", 1)
     placed = place.Placed(endpoint=ENDPOINT, departure=departure)
     request = base.ForwardRequest(method="GET", target="/", headers={}, body=b"", arrived_s=0.0)
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -1,4 +1,4 @@
-"""What may hold a request back between its placement and its first byte."""
+"""The check between the choice of an endpoint and the first byte of a request."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def leave(view, counts, clock):
-    """Return what a sender calls as the first byte of a request should leave."""
+    """Return a function that does what a sender does just before the first byte."""
     last_look = departures.LastLook(
         view, counts, service.Service(halls.HallRegions({})), metrics.Metrics(), clock
     )
@@ -81,11 +81,11 @@
     return caught.value.bar
 
 
-def test_a_request_leaves_for_an_endpoint_that_nothing_speaks_against(leave):
+def test_a_request_is_sent_to_an_endpoint_in_service(leave):
     leave()
 
 
-def test_a_rest_asked_meanwhile_holds_it_back_until_it_is_over(leave, counts, clock):
+def test_no_request_is_sent_until_a_rest_that_began_meanwhile_is_over(leave, counts, clock):
     counts.hear("e", withdrawal.Notice(rest_s=3.0))
     clock.advance(2.9)
     assert bar_of(leave) is service.Bar.WITHDRAWN
@@ -93,7 +93,7 @@
     leave()
 
 
-def test_leaving_holds_it_back_by_the_endpoints_word(leave, counts):
+def test_no_request_is_sent_to_an_endpoint_that_announced_its_shutdown(leave, counts):
     counts.hear("e", withdrawal.Notice(leaves=True))
     assert bar_of(leave) is service.Bar.WITHDRAWN
 
@@ -106,25 +106,29 @@
         ({"evacuated": halls.EvacuatedHalls(1, ("h",))}, service.Bar.EVACUATED),
     ],
 )
-def test_what_routers_are_told_meanwhile_holds_it_back(leave, view, changes, bar):
+def test_no_request_is_sent_after_a_change_of_the_list_or_an_evacuation(leave, view, changes, bar):
     change(view, **changes)
     assert bar_of(leave) is bar
 
 
-def test_an_endpoint_that_turned_cold_gets_only_what_was_counted_for_it(leave, view, counts, clock):
+def test_an_endpoint_that_turned_cold_gets_only_requests_counted_in_its_quota(
+    leave, view, counts, clock
+):
     change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     assert bar_of(leave) is service.Bar.COLD
     leave(attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S)))
 
 
-def test_what_was_counted_for_a_cold_endpoint_ends_with_its_allotment(leave, view, counts, clock):
+def test_a_request_to_a_cold_endpoint_is_held_back_once_its_quota_has_expired(
+    leave, view, counts, clock
+):
     change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
     clock.advance(send_quotas.QUOTA_TTL_S)
     assert bar_of(leave, placed) is service.Bar.COLD
 
 
-def test_a_repeat_that_is_held_back_has_not_left(leave, counts, clock):
+def test_a_repeat_that_is_held_back_does_not_count_as_sent(leave, counts, clock):
     repeat = retry_budget.Repeat(at_s=1.0)
     counts.hear("e", withdrawal.Notice(rest_s=3.0))
     with pytest.raises(departures.HeldBackError):
--- a/testing/forwarding/test_forwarding.py
+++ b/testing/forwarding/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded requests over real sockets: what reaches endpoints and what callers get."""
+"""Forwarded requests over real sockets: what endpoints receive and what callers get."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class TestPassingOn:
-    """Requests and answers go through as they are."""
+    """Requests and responses are forwarded unchanged."""
 
     def test_method_path_query_and_body_arrive_as_sent(self, site):
         path = "/cancel/a%2Fb//c;d?q=%20x&&y="
@@ -46,7 +46,7 @@
         assert answer.headers[NAMES.proof] == forwarded.PROOF
         assert answer.headers[NAMES.request_id] == "request-1"
 
-    def test_headers_arrive_but_for_those_of_one_connection_and_the_key(self, site):
+    def test_end_to_end_headers_arrive_without_the_key(self, site):
         own = {
             "X-Custom": "a, b",
             "Connection": "X-Hop",
@@ -66,7 +66,7 @@
 
     @pytest.mark.parametrize("header", OF_THE_FLEET)
     @pytest.mark.parametrize("spell", [str.lower, str.upper, str.title])
-    def test_a_header_of_the_fleet_never_carries_what_the_caller_sent(self, site, header, spell):
+    def test_a_fleet_header_sent_by_the_caller_is_not_forwarded(self, site, header, spell):
         connection = site.connect()
         connection.putrequest("POST", "/stream/chat/x", skip_host=True)
         own = site.headers("r-1")
@@ -74,7 +74,7 @@
             if name.lower() != header:
                 connection.putheader(name, value)
         key = next((value for name, value in own.items() if name.lower() == header), "987654")
-        # Two that differ would leave open which the caller meant: such a request is refused.
+        # Duplicates of these headers are ambiguous, so such a request is refused.
         copies = 1 if header in (NAMES.key, NAMES.budget_ms) else 2
         for _ in range(copies):
             connection.putheader(spell(header), key)
@@ -90,7 +90,7 @@
         site.ask("GET", "/cancel/x", headers={NAMES.workspace: "another"})
         assert only_run(site)[1].headers[NAMES.workspace] == "clinic"
 
-    def test_a_body_in_chunks_arrives_whole(self, site):
+    def test_a_chunked_body_arrives_complete(self, site):
         connection = site.connect()
         blocks = iter([b"one ", b"two"])
         connection.request("POST", "/cancel/x", blocks, site.headers("r"), encode_chunked=True)
@@ -98,12 +98,12 @@
         connection.close()
         assert only_run(site)[1].body == b"one two"
 
-    def test_a_long_body_arrives_whole(self, site):
+    def test_a_long_body_arrives_complete(self, site):
         body = bytes(range(256)) * 700
         site.ask("POST", "/cancel/x", body=body)
         assert only_run(site)[1].body == body
 
-    def test_events_come_as_they_are_made_and_the_connection_is_kept(self, site):
+    def test_all_events_arrive_and_the_callers_connection_stays_open(self, site):
         engine = site.engines[0]
         site.engines[1].faults.add(*[Fault.DECLINE] * 3)
         connection = site.connect()
@@ -115,13 +115,13 @@
         connection.close()
         assert len(engine.runs) + len(site.engines[1].runs) == 2
 
-    def test_an_answer_without_a_length_is_whole(self, site):
+    def test_a_response_without_a_length_is_complete(self, site):
         for each in site.workers:
             each.faults.add(Fault.UNFRAMED)
         answer = site.ask("POST", "/confirm/x", body=b"b")
         assert (answer.status, answer.body) == (200, b"ran POST /confirm/x b")
 
-    def test_bytes_after_a_whole_answer_reach_nobody(self, site):
+    def test_bytes_after_a_complete_response_are_discarded(self, site):
         for each in site.workers:
             each.faults.add(Fault.SURPLUS)
         connection = site.connect()
@@ -132,7 +132,7 @@
 
 
 class TestRoutesAndKeys:
-    """Who may ask for what."""
+    """Which requests are routed and authorized."""
 
     @pytest.mark.parametrize(
         ("path", "headers", "status"),
@@ -145,11 +145,11 @@
             ("/open/x", {NAMES.key: ""}, 200),
         ],
     )
-    def test_each_is_told_what_it_may(self, site, path, headers, status):
+    def test_unknown_routes_and_invalid_keys_are_refused(self, site, path, headers, status):
         assert site.ask("GET", path, headers=headers).status == status
         assert len(site.runs()) == (1 if status == 200 else 0)
 
-    def test_a_time_limit_is_kept_and_told_at_once(self, site):
+    def test_a_request_past_its_time_limit_gets_504(self, site):
         for each in site.workers:
             each.faults.add(Fault.SILENT)
         answer = site.ask("GET", "/open/x")
@@ -163,7 +163,7 @@
         assert site.operator.submit(changed).status == 200
         assert site.ask("GET", "/cancel/x").status == 404
 
-    def test_a_key_that_was_taken_away_is_refused_once_that_is_acknowledged(self, site):
+    def test_a_removed_key_is_refused_once_the_change_is_acknowledged(self, site):
         changed = copy.deepcopy(DOCUMENT)
         changed["version"] = 2
         changed["tenants"][0]["apiKeys"] = ["another"]
@@ -173,11 +173,11 @@
 
 
 class TestFailures:
-    """What becomes of a request when an endpoint fails it."""
+    """Requests to endpoints that fail or decline them."""
 
     @pytest.mark.parametrize("fault", [Fault.DECLINE, Fault.MISDIRECTED])
     @pytest.mark.parametrize("path", ["/confirm/x", "/cancel/x", "/stream/chat/x"])
-    def test_a_declined_request_runs_elsewhere(self, site, fault, path):
+    def test_a_declined_request_runs_at_another_endpoint(self, site, fault, path):
         first = site.engines if path.startswith("/stream") else site.workers
         for each in first:
             each.faults.add(fault)
@@ -186,7 +186,7 @@
         assert len(site.runs()) == 1
 
     @pytest.mark.parametrize("fault", [Fault.DECLINE, Fault.MISDIRECTED])
-    def test_a_request_that_everyone_declines_is_refused_and_has_not_run(self, site, fault):
+    def test_a_request_that_all_endpoints_decline_gets_503_and_has_not_run(self, site, fault):
         for each in site.workers:
             each.faults.add(fault)
         answer = site.ask("POST", "/confirm/x")
@@ -206,9 +206,7 @@
             Fault.UNMARKED_503,
         ],
     )
-    def test_a_request_that_may_run_once_runs_once_and_its_failure_promises_nothing(
-        self, site, fault
-    ):
+    def test_a_non_repeatable_request_runs_once_and_its_failure_is_not_signed(self, site, fault):
         for each in site.workers:
             each.faults.add(fault)
         answer = site.ask("POST", "/confirm/x")
@@ -229,21 +227,21 @@
             Fault.ERROR,
         ],
     )
-    def test_a_request_that_may_repeat_is_answered_by_another(self, site, fault):
+    def test_a_repeatable_request_is_answered_by_another_endpoint(self, site, fault):
         for each in site.workers:
             each.faults.add(fault)
         site.workers[0].faults.take()
         answer = site.ask("GET", "/cancel/x")
         assert (answer.status, answer.body) == (200, b"ran GET /cancel/x ")
 
-    def test_an_endpoints_own_failure_is_passed_on_as_it_is(self, site):
+    def test_an_endpoints_error_response_is_returned_unchanged(self, site):
         for each in site.workers:
             each.faults.add(Fault.ERROR)
         answer = site.ask("POST", "/confirm/x")
         assert (answer.status, answer.body) == (500, b"broken")
         assert answer.headers[NAMES.proof] == forwarded.PROOF
 
-    def test_an_early_answer_to_a_long_body_is_understood(self, site):
+    def test_an_early_response_to_a_long_body_is_handled(self, site):
         for each in site.workers:
             each.faults.add(Fault.ANSWER_EARLY)
         site.workers[0].faults.take()
@@ -251,7 +249,7 @@
         assert answer.status == 200
         assert len(site.runs()) == 1
 
-    def test_an_endpoint_that_is_gone_costs_no_request(self, site):
+    def test_no_request_fails_when_an_endpoint_has_stopped(self, site):
         site.workers[0].stop()
         answers = [site.ask("POST", "/confirm/x", request_id=f"r-{n}").status for n in range(8)]
         assert answers == [200] * 8
@@ -261,7 +259,9 @@
     """Event streams that break off."""
 
     @pytest.mark.parametrize("fault", [Fault.HALF_EVENT, Fault.RESET_MID_STREAM])
-    def test_a_resumable_stream_goes_on_elsewhere_within_the_answer(self, site, fault):
+    def test_a_resumable_stream_is_resumed_at_another_endpoint_in_the_same_response(
+        self, site, fault
+    ):
         for each in site.engines:
             each.faults.add(fault)
         site.engines[0].faults.take()
@@ -278,10 +278,10 @@
         assert answer.body == events
 
     @pytest.mark.parametrize("fault", [Fault.ERROR, Fault.EMPTY_ERROR, Fault.UNMARKED_503])
-    def test_a_resumed_stream_that_is_not_taken_breaks_visibly(self, site, fault):
-        # Found on the grown site: the error that answered the resumption was read as the stream's
-        # rest, so the answer ended as if it were whole.
-        # One queue for both engines: whichever is asked first breaks off, the other has the fault.
+    def test_the_response_is_truncated_if_its_stream_cannot_be_resumed(self, site, fault):
+        # Guards against reading an error response to the resumption as the rest of the stream: the
+        # caller's response then ended as if it were complete.
+        # Both engines share one queue of faults: the first one tried breaks off, the other fails.
         first, second = site.engines
         second.faults = first.faults
         first.faults.add(Fault.RESET_MID_STREAM, fault)
@@ -295,7 +295,7 @@
         assert answer.body == forwarded.event_of(begun, 1)
 
     @pytest.mark.parametrize("fault", [Fault.HALF_EVENT, Fault.RESET_MID_STREAM])
-    def test_another_stream_breaks_visibly_and_runs_once(self, site, fault):
+    def test_a_stream_that_is_not_resumable_is_truncated_and_runs_once(self, site, fault):
         for each in site.engines:
             each.faults.add(fault)
         answer = site.ask("POST", "/stream/chat/x")
@@ -303,14 +303,14 @@
         assert answer.body.count(b"\n\n") == 1
         assert len(site.runs()) == 1
 
-    def test_a_callers_last_event_is_passed_on(self, site):
+    def test_the_callers_last_event_id_is_forwarded(self, site):
         state = site.routers[0]._view
-        wait_until(lambda: state.get().mixed == frozenset(), "its pools have one version")
+        wait_until(lambda: state.get().mixed == frozenset(), "each pool has a single version")
         answer = site.ask("POST", "/stream/note/x", headers={"Last-Event-ID": "3"})
         assert answer.body.startswith(b"id: 4\n")
 
 
-def test_work_for_a_caller_that_left_is_cancelled(site):
+def test_a_running_request_is_cancelled_when_its_caller_disconnects(site):
     for each in site.workers:
         each.faults.add(Fault.SILENT)
     connection = site.connect()
@@ -318,11 +318,11 @@
     wait_until(lambda: site.runs(), "the request runs")
     connection.close()
     wait_until(
-        lambda: any("gone" in each.cancelled for each in site.workers), "the work is cancelled"
+        lambda: any("gone" in each.cancelled for each in site.workers), "the request is cancelled"
     )
 
 
-def test_a_stream_that_pauses_is_cancelled_once_its_caller_has_left(make_site):
+def test_a_paused_stream_is_cancelled_when_its_caller_disconnects(make_site):
     site = make_site(routers=1, engines=1, silence_s=60.0)
     (engine,) = site.engines
     engine.may_go_on.clear()
@@ -335,7 +335,7 @@
 
 
 class TestWire:
-    """What a router refuses to read."""
+    """Malformed, ambiguous and oversized requests."""
 
     @pytest.mark.parametrize(
         "head",
@@ -362,22 +362,22 @@
             (b"POST /cancel/x HTTP/1.1\r\nHost: h\r\nContent-Length: 200001\r\n\r\n", b"413"),
         ],
     )
-    def test_the_limits_of_the_configuration_hold(self, site, head, status):
+    def test_configured_size_limits_are_enforced(self, site, head, status):
         wait_until(lambda: status_of(raw(site, head)) == status, "limits are in use")
 
-    def test_a_body_of_just_the_limit_passes(self, site):
+    def test_a_body_of_exactly_the_limit_is_accepted(self, site):
         assert site.ask("POST", "/cancel/x", body=b"b" * 200_000).status == 200
 
 
 def raw(site, head):
-    """Send bytes and return what comes back first."""
+    """Send bytes and return the first data received, empty after a timeout."""
     host, _, port = site.routers[0].caller_address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=1) as sock:
         sock.sendall(head)
         try:
             return sock.recv(65_536)
         except TimeoutError:
-            # The limits were not in use yet, and the server waits for the body.
+            # The limits are not in use yet, and the server still waits for the body.
             return b""
 
 
@@ -386,9 +386,9 @@
 
 
 class TestHoldingOff:
-    """An endpoint that fails more requests than its peers gets none for a while."""
+    """An endpoint that fails more requests than its peers is held off."""
 
-    def test_what_two_routers_met_counts_together_and_binds_both(self, make_site):
+    def test_failures_at_two_routers_are_summed_and_both_hold_off_the_endpoint(self, make_site):
         site = make_site(workers=3, routers=2)
         bad = site.workers[0]
         for _ in range(500):
@@ -405,7 +405,7 @@
             ask(1)
             return all(bad.incarnation in held_off(each) for each in site.routers)
 
-        wait_until(is_held_off, "both routers know of it")
+        wait_until(is_held_off, "both routers hold it off")
         before = len(bad.runs)
         statuses = [ask(number % 2).status for number in range(20)]
         assert statuses == [200] * 20
@@ -420,7 +420,7 @@
 
 
 class TestPrompts:
-    """Where requests with a shared beginning go."""
+    """Placement of requests with a shared prompt prefix."""
 
     @staticmethod
     def ask(site, number, prompt="first:900,rest:600,own:10", router=0):
@@ -430,13 +430,13 @@
             "POST", "/stream/chat/x", address=address, request_id=f"r-{number}", headers=headers
         )
 
-    def test_they_go_to_one_engine_whichever_router_they_come_to(self, make_site):
+    def test_all_routers_send_a_shared_prefix_to_the_same_engine(self, make_site):
         site = make_site(engines=4, routers=2)
         for number in range(8):
             assert self.ask(site, number, router=number % 2).status == 200
         assert sorted(len(each.runs) for each in site.engines) == [0, 0, 0, 8]
 
-    def test_an_engine_that_lacks_the_beginning_is_told_who_holds_it(self, make_site):
+    def test_an_engine_without_the_prefix_gets_the_address_of_one_that_has_it(self, make_site):
         site = make_site(engines=2)
         self.ask(site, 0)
         first = next(each for each in site.engines if each.runs)
@@ -447,6 +447,6 @@
         self.ask(site, 100)
         assert NAMES.cache_from not in other.runs[-1].headers
 
-    def test_what_callers_claim_of_caches_is_not_passed_on(self, site):
+    def test_a_cache_address_sent_by_the_caller_is_not_forwarded(self, site):
         site.ask("POST", "/stream/chat/x", headers={NAMES.cache_from: "10.0.0.1:1"})
         assert NAMES.cache_from not in only_run(site)[1].headers
--- a/testing/forwarding/test_restarts.py
+++ b/testing/forwarding/test_restarts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start anew under their id, and lists with entries of other writers."""
+"""Endpoints that restart under the same id, and endpoint lists with malformed entries."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def list_born(site):
-    """Return a function that has the platform list all endpoints with a start."""
+    """Return a function that has the platform list all endpoints with a start time."""
 
     def change(born_ms):
         listed = site.instances.listed
         site.instances.listed = tuple(attrs.evolve(each, born_ms=born_ms) for each in listed)
-        wait_until(lambda: lives(site) == {born_ms}, "the router knows the lives listed")
+        wait_until(lambda: lives(site) == {born_ms}, "the router knows the listed incarnations")
 
     return change
 
@@ -36,7 +36,7 @@
     return {each.born_ms for each in router._view.get().endpoints}
 
 
-def test_a_restart_under_the_same_id_clears_the_endpoints_name(site, list_born):
+def test_a_restart_under_the_same_id_clears_the_endpoints_record(site, list_born):
     list_born(1000)
     (worker,) = site.workers
     worker.faults.add(faults.Fault.MISDIRECTED)
@@ -49,11 +49,11 @@
     assert site.ask("POST", "/confirm/x", request_id="r-1").status == 200
 
 
-def test_prompts_noted_before_a_restart_are_noted_no_more(site, list_born):
+def test_a_restart_clears_the_prompt_parts_noted_before(site, list_born):
     list_born(1000)
     site.ask("POST", "/stream/chat/x", headers=PROMPT)
     (router,) = site.routers
-    wait_until(lambda: router._traffic._records.keys(), "the note is kept")
+    wait_until(lambda: router._traffic._records.keys(), "the note is recorded")
     list_born(2000)
     assert not router._traffic._records.keys()
 
@@ -68,7 +68,7 @@
         {"born": "1000"},
     ],
 )
-def test_no_request_goes_to_a_spoiled_entry(site, list_born, spoil):
+def test_no_request_goes_to_a_malformed_entry(site, list_born, spoil):
     list_born(1000)
     decoy = site.start_endpoint("decoy")
     entry = stand_ins.entry(site.instances.listed[-1]) | {"id": "decoy", "address": decoy.address}
