--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -41,17 +41,17 @@
     counts: traffic.Traffic
     on_close: Callable[[], None]
     on_event: Callable[[], None]
-    reading_tokens: int = 0
+    prefill_tokens: int = 0
     closed: bool = False
 
-    def event_came(self) -> None:
+    def record_event(self) -> None:
         """Record that an event of the response has arrived."""
-        self.prompt_is_read()
+        self.end_prefill()
         self.on_event()
 
-    def prompt_is_read(self) -> None:
+    def end_prefill(self) -> None:
         """Stop counting the prompt as prefill; a second call does nothing."""
-        tokens, self.reading_tokens = self.reading_tokens, 0
+        tokens, self.prefill_tokens = self.prefill_tokens, 0
         if tokens:
             self.counts.end_reading(self.endpoint.key, tokens)
 
@@ -60,7 +60,7 @@
         if not self.closed:
             self.closed = True
             self.answer.close()
-            self.prompt_is_read()
+            self.end_prefill()
             self.counts.leave(self.endpoint.key)
             self.on_close()
 
@@ -70,22 +70,22 @@
 
     def __init__(
         self,
-        way: sender.Sender,
+        attempt_sender: sender.Sender,
         counts: traffic.Traffic,
         gate: suspects.Gate,
-        said: notices.Notices,
-        last_look: departures.LastLook,
-        known: reach.Reach,
-        names: vocabulary.Vocabulary,
+        endpoint_notices: notices.Notices,
+        pre_send_check: departures.LastLook,
+        pool_reach: reach.Reach,
+        header_names: vocabulary.Vocabulary,
         clock: clocks.Clock,
     ) -> None:
-        self._sender = way
+        self._sender = attempt_sender
         self._counts = counts
         self._gate = gate
-        self._notices = said
-        self._last_look = last_look
-        self._reach = known
-        self._names = names
+        self._notices = endpoint_notices
+        self._pre_send_check = pre_send_check
+        self._reach = pool_reach
+        self._header_names = header_names
         self._clock = clock
 
     def open(
@@ -109,8 +109,8 @@
         endpoint = placed.endpoint
         budget_s = exchange.deadline_s - self._clock.monotonic_s()
         if budget_s < LEAST_BUDGET_S:
-            late = errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
-            raise failures.final(exchange, late)
+            deadline_error = errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
+            raise failures.final(exchange, deadline_error)
         attempt = exchange.attempts.begin(endpoint.key)
         outgoing = headers.Outgoing(
             endpoint=endpoint,
@@ -118,14 +118,14 @@
             last_event_id=last_event_id,
             cache_from=placed.cache_from,
         )
-        order = self._order(exchange, outgoing, placed)
+        outgoing_request = self._outgoing_request(exchange, outgoing, placed)
         self._counts.enter(endpoint.key)
         self._counts.begin_reading(exchange.facts, endpoint.key, placed.reading_tokens)
         self._gate.began(exchange, endpoint, attempt)
         on_close = functools.partial(self._gate.ended, exchange, endpoint, attempt)
         on_event = functools.partial(self._gate.wrote, exchange, endpoint, attempt)
         try:
-            answer = self._sender.send(order, attempt, exchange.token)
+            answer = self._sender.send(outgoing_request, attempt, exchange.token)
         except BaseException as failure:
             if isinstance(failure, departures.HeldBackError):
                 exchange.attempts.discard(attempt)
@@ -141,18 +141,18 @@
             endpoint, attempt, answer, self._counts, on_close, on_event, placed.reading_tokens
         )
 
-    def _order(
+    def _outgoing_request(
         self, exchange: base.Exchange, outgoing: headers.Outgoing, placed: place.Placed
     ) -> sender.Order:
         repeat = exchange.repeat.repeat if exchange.repeat else None
-        leaving = self._last_look.before(exchange, placed, repeat)
+        send_callback = self._pre_send_check.before(exchange, placed, repeat)
         return sender.Order(
             endpoint=outgoing.endpoint,
             method=exchange.request.method,
             target=exchange.request.target,
-            headers=headers.to_endpoint(exchange, outgoing, self._names),
+            headers=headers.to_endpoint(exchange, outgoing, self._header_names),
             body=exchange.request.body,
             # The shared retry budget counts a repeat as long as it may still arrive.
             arrival_limit_s=self._counts.arrival_s if repeat is not None else None,
-            on_leaving=leaving,
+            on_leaving=send_callback,
         )
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -35,13 +35,13 @@
         self,
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
-        pools: service.Service,
+        pool_members: service.Service,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
         self._view = view
         self._counts = counts
-        self._service = pools
+        self._pool_members = pool_members
         self._counters = counters
         self._clock = clock
 
@@ -52,15 +52,15 @@
 
         Its first call raises `HeldBackError` if nothing may be sent.
         """
-        has_looked = False
+        is_checked = False
 
         def on_leaving() -> None:
-            nonlocal has_looked
-            if has_looked:
+            nonlocal is_checked
+            if is_checked:
                 self._counts.sent(placed.endpoint.key)
             else:
-                self._look(exchange, placed)
-            has_looked = True
+                self._check(exchange, placed)
+            is_checked = True
             if repeat is not None:
                 self._counts.repeat_leaves(repeat)
             if placed.departure is not None:
@@ -68,24 +68,24 @@
 
         return on_leaving
 
-    def _look(self, exchange: base.Exchange, placed: place.Placed) -> None:
-        bar = self._bar(exchange, placed)
-        if bar is None:
+    def _check(self, exchange: base.Exchange, placed: place.Placed) -> None:
+        reason = self._block_reason(exchange, placed)
+        if reason is None:
             return
-        self._counters.held_back(bar.value)
+        self._counters.held_back(reason.value)
         events.emit(
             _LOG,
             events.Event.SEND_HELD_BACK,
             request_id=exchange.facts.request_id,
             endpoint=placed.endpoint.key,
-            bar=bar.value,
+            bar=reason.value,
         )
-        raise HeldBackError(placed, bar)
+        raise HeldBackError(placed, reason)
 
-    def _bar(self, exchange: base.Exchange, placed: place.Placed) -> service.Bar | None:
+    def _block_reason(self, exchange: base.Exchange, placed: place.Placed) -> service.Bar | None:
         state = self._view.get()
         endpoint = placed.endpoint
-        members = self._service.members(
+        members = self._pool_members.members(
             state, exchange.pool, exchange.home_regions, exchange.version
         )
         listed = members.in_service.get(endpoint.key)
@@ -99,7 +99,7 @@
             return service.Bar.WITHDRAWN
         if not state.may_be_cold:
             return None
-        a_second = state.cold_a_second(endpoint, now_s)
-        if a_second is None or (a_second and placed.departure is not None):
+        cold_quota_per_s = state.cold_a_second(endpoint, now_s)
+        if cold_quota_per_s is None or (cold_quota_per_s and placed.departure is not None):
             return None
         return service.Bar.COLD
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
-        endpoints: failover.Failover,
+        attempt_failover: failover.Failover,
         repeats: retry.Retry,
         counts: traffic.Traffic,
         known_origins: stream_origins.StreamOrigins,
     ) -> None:
-        self._failover = endpoints
+        self._failover = attempt_failover
         self._retry = repeats
         self._counts = counts
         self._origins = known_origins
@@ -37,57 +37,57 @@
         Raises `errors.CroftpulleyError` if the stream broke off and is not resumed. Before its
         first event it is never resumed here.
         """
-        cutter = event_splitter.EventSplitter()
-        cutter.last_id = exchange.facts.last_event_id
-        begun = False
+        splitter = event_splitter.EventSplitter()
+        splitter.last_id = exchange.facts.last_event_id
+        has_begun = False
         try:
             while True:
                 try:
-                    for whole in _whole_events(cutter, current):
-                        if not begun:
-                            self._bind(exchange, current)
-                            begun = True
-                        current.event_came()
-                        yield whole
+                    for complete_events in _complete_events(splitter, current):
+                        if not has_begun:
+                            self._bind_origin(exchange, current)
+                            has_begun = True
+                        current.record_event()
+                        yield complete_events
                     self._counts.answered(current.endpoint.key)
                     if exchange.origin is not None:
                         self._origins.ended_whole(exchange.stream)
                     return
                 except errors.CroftpulleyError as failure:
-                    if not begun:
+                    if not has_begun:
                         raise
                     self._failover.broke_off(exchange, current, failure)
-                    if not cutter.last_id:
+                    if not splitter.last_id:
                         # Events without ids: there is no position to resume from.
                         raise
                     self._retry.go_on_or_raise(exchange, failure, tried)
-                cutter.drop_partial()
-                current = self._failover.begin(exchange, tried, cutter.last_id)
-                _log_resumed(exchange, current, cutter.last_id)
+                splitter.drop_partial()
+                current = self._failover.begin(exchange, tried, splitter.last_id)
+                _log_resumed(exchange, current, splitter.last_id)
         finally:
             current.close()
 
-    def _bind(self, exchange: base.Exchange, current: attempt.OpenAttempt) -> None:
+    def _bind_origin(self, exchange: base.Exchange, current: attempt.OpenAttempt) -> None:
         """Bind further attempts to the pool and version of the first event, and remember them."""
         route = exchange.known_route
         if not route.is_resumable_stream:
             return
         origin = exchange.origin or origins.Origin(exchange.pool, current.endpoint.version)
-        kept_s = route.time_limit_ms / 1000 + origins.RETENTION_S
-        told = origins.OriginAnnouncement(exchange.stream, origin, kept_s)
-        self._origins.begun(told, always_told=route.is_split)
+        retention_s = route.time_limit_ms / 1000 + origins.RETENTION_S
+        announcement = origins.OriginAnnouncement(exchange.stream, origin, retention_s)
+        self._origins.begun(announcement, always_told=route.is_split)
         exchange.origin = origin
 
 
-def _whole_events(
-    cutter: event_splitter.EventSplitter, current: attempt.OpenAttempt
+def _complete_events(
+    splitter: event_splitter.EventSplitter, current: attempt.OpenAttempt
 ) -> Iterator[bytes]:
     """Yield complete events; raises `errors.CroftpulleyError` if the response ends within one."""
     for chunk in current.answer.chunks():
-        whole = cutter.feed(chunk)
-        if whole:
-            yield whole
-    if not cutter.is_between_events:
+        complete_events = splitter.feed(chunk)
+        if complete_events:
+            yield complete_events
+    if not splitter.is_between_events:
         current.attempt.is_end_ambiguous = True
         current.attempt.is_truncated = True
         raise errors.CroftpulleyError(
--- a/src/croftpulley/forwarding/failover.py
+++ b/src/croftpulley/forwarding/failover.py
@@ -24,19 +24,19 @@
         self,
         placement: place.Placement,
         opener: attempt.Opener,
-        heads: judge.Judge,
+        response_judge: judge.Judge,
         repeats: retry.Retry,
         gate: suspects.Gate,
         counts: traffic.Traffic,
-        known: reach.Reach,
+        pool_reach: reach.Reach,
     ) -> None:
         self._placement = placement
         self._gate = gate
         self._opener = opener
-        self._judge = heads
+        self._judge = response_judge
         self._retry = repeats
         self._counts = counts
-        self._reach = known
+        self._reach = pool_reach
 
     def begin(
         self, exchange: base.Exchange, tried: set[str], resume_after: str = ""
@@ -51,7 +51,7 @@
         last_event_id = resume_after or exchange.facts.last_event_id
         while True:
             current = self._open(exchange, tried, last_event_id)
-            if self._is_taken(exchange, current, tried, resumes=bool(resume_after)):
+            if self._accept_response(exchange, current, tried, resumes=bool(resume_after)):
                 return current
 
     def broke_off(
@@ -91,7 +91,7 @@
         tried.add(placed.endpoint.key)
         return placed
 
-    def _is_taken(
+    def _accept_response(
         self,
         exchange: base.Exchange,
         current: attempt.OpenAttempt,
--- a/src/croftpulley/forwarding/failures.py
+++ b/src/croftpulley/forwarding/failures.py
@@ -12,7 +12,7 @@
 
 _LOG = logging.getLogger(__name__)
 _UNAVAILABLE = 503
-_NOT_SERVED = (codes.ResultCode.WORKER_UNREACHABLE, codes.ResultCode.WORKER_BROKE)
+_ATTEMPT_FAILURES = (codes.ResultCode.WORKER_UNREACHABLE, codes.ResultCode.WORKER_BROKE)
 
 
 def final(exchange: base.Exchange, failure: errors.CroftpulleyError) -> errors.CroftpulleyError:
@@ -25,7 +25,7 @@
     code = failure.code
     if exchange.token.reason is not None:
         code = exchange.token.reason
-    elif run_state is codes.RunState.NOT_RUN and code in _NOT_SERVED:
+    elif run_state is codes.RunState.NOT_RUN and code in _ATTEMPT_FAILURES:
         code = codes.ResultCode.DECLINED
     elif run_state is not codes.RunState.NOT_RUN and codes.INFO[code].http_status == _UNAVAILABLE:
         code = codes.ResultCode.WORKER_BROKE
@@ -57,7 +57,7 @@
 
 def log_repeat(exchange: base.Exchange, failure: errors.CroftpulleyError) -> None:
     """Log that the request is sent to another endpoint after a failure."""
-    _log_decision(
+    _log_retry_decision(
         exchange,
         events.Event.REQUEST_REPEATED,
         code=failure.code.name,
@@ -67,10 +67,10 @@
 
 def log_held_back(exchange: base.Exchange) -> None:
     """Log that the request is not repeated, since the shared retry budget is used up."""
-    _log_decision(exchange, events.Event.REPEAT_HELD_BACK)
+    _log_retry_decision(exchange, events.Event.REPEAT_HELD_BACK)
 
 
-def _log_decision(exchange: base.Exchange, event: events.Event, **fields: Any) -> None:
+def _log_retry_decision(exchange: base.Exchange, event: events.Event, **fields: Any) -> None:
     events.emit(
         _LOG,
         event,
@@ -78,11 +78,11 @@
         request_id=exchange.facts.request_id,
         attempts=len(exchange.attempts.attempts),
         **fields,
-        **_budget(exchange),
+        **_retry_budget_fields(exchange),
     )
 
 
-def _budget(exchange: base.Exchange) -> dict[str, Any]:
+def _retry_budget_fields(exchange: base.Exchange) -> dict[str, Any]:
     """Return the log fields of the retry budget's decision; empty if it was not consulted."""
     if exchange.repeat is None:
         return {}
--- a/src/croftpulley/forwarding/headers.py
+++ b/src/croftpulley/forwarding/headers.py
@@ -9,7 +9,7 @@
 from croftpulley.core import calls, membership
 from croftpulley.forwarding import base, ownership, vocabulary
 
-_LEAST_URGENT = 9
+_LOWEST_URGENCY = 9
 
 
 def facts(headers: Mapping[str, str], names: vocabulary.Vocabulary) -> calls.CallFacts:
@@ -41,7 +41,7 @@
     """Return the headers for the endpoint: the caller's own ones and those that this box sets."""
     headers = {
         name: value
-        for name, value in of_request(exchange.request).items()
+        for name, value in end_to_end_headers(exchange.request).items()
         if ownership.owner(name, names) is ownership.Owner.CALLER
     }
     headers[names.budget_ms] = str(max(1, int(outgoing.budget_s * 1000)))
@@ -57,10 +57,10 @@
     return headers
 
 
-def of_request(request: base.ForwardRequest) -> dict[str, str]:
+def end_to_end_headers(request: base.ForwardRequest) -> dict[str, str]:
     """Return the end-to-end headers of a request, without those of the connection."""
-    named = _named_by_connection(request.headers.get("connection", ""))
-    left_out = ownership.OF_ONE_CONNECTION | named
+    connection_options = _connection_options(request.headers.get("connection", ""))
+    left_out = ownership.OF_ONE_CONNECTION | connection_options
     return {name: value for name, value in request.headers.items() if name not in left_out}
 
 
@@ -71,17 +71,17 @@
     """
     of_workspace = exchange.workspace.priority if exchange.workspace else 0
     of_route = min(2, exchange.known_route.priority)
-    return min(_LEAST_URGENT, 3 * of_workspace + of_route)
+    return min(_LOWEST_URGENCY, 3 * of_workspace + of_route)
 
 
 def to_caller(headers: Iterable[tuple[str, str]]) -> base.Headers:
     """Return the end-to-end headers of a response; those of the connection are set anew."""
     pairs = list(headers)
     connection = ",".join(value for name, value in pairs if name.lower() == "connection")
-    left_out = ownership.OF_ONE_CONNECTION | _named_by_connection(connection)
+    left_out = ownership.OF_ONE_CONNECTION | _connection_options(connection)
     return tuple((name, value) for name, value in pairs if name.lower() not in left_out)
 
 
-def _named_by_connection(value: str) -> frozenset[str]:
+def _connection_options(value: str) -> frozenset[str]:
     """Return the names that a Connection header lists as hop-by-hop headers."""
     return frozenset(name.strip().lower() for name in value.split(",") if name.strip())
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -44,19 +44,19 @@
 HEADER_BYTES = 160
 """The size allowed for each of them on top of the limit for callers; a box name has at most 100
 characters."""
-MOST_ASKED = 3
+MAX_BOXES_TRIED = 3
 """The most boxes that one request is forwarded to, one after another."""
 CONNECT_TIMEOUT_S = 0.25
 """For a connection to another box: an unreachable one must leave time for the next."""
-SILENT_LIMIT_S = 1.0
+KEEPALIVE_TIMEOUT_S = 1.0
 """How long another box, probed every second, may acknowledge nothing before it counts as lost."""
 
 
-def read(given: Mapping[str, str]) -> base.Hop:
+def read(header_values: Mapping[str, str]) -> base.Hop:
     """Parse the headers of a hop; ``given`` has names in lower case. Invalid versions read as 0."""
-    version = given.get(VERSION, "")
+    version = header_values.get(VERSION, "")
     return base.Hop(
-        box=given.get(BOX, "")[:100],
+        box=header_values.get(BOX, "")[:100],
         configuration_version=int(version) if version.isdecimal() and len(version) < 16 else 0,
     )
 
@@ -91,34 +91,36 @@
         self._clock = clock
         self._peers = peers.Peers(box, hall)
 
-    def reply(self, exchange: base.Exchange) -> base.ForwardReply:
+    def forward(self, exchange: base.Exchange) -> base.ForwardReply:
         """Forward a request to other boxes, one after another, and return the first's response.
 
         Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, if no box accepts it.
         """
-        for peer in self._choose(exchange):
-            answer = self._ask(exchange, peer)
+        for peer in self._choose_boxes(exchange):
+            answer = self._forward_to(exchange, peer)
             if answer is not None:
-                self._took(exchange, peer)
-                return self._passed_on(exchange, answer)
+                self._record_success(exchange, peer)
+                return self._to_reply(exchange, answer)
         # Every box that was tried ran nothing.
         raise errors.CroftpulleyError(
             codes.ResultCode.OUT_OF_REACH,
             f"pool {exchange.pool!r}: reached neither from here nor by way of other boxes",
         )
 
-    def _choose(self, exchange: base.Exchange) -> list[membership.Box]:
+    def _choose_boxes(self, exchange: base.Exchange) -> list[membership.Box]:
         state = self._view.get()
-        told = state.reaching.get(exchange.pool)
-        reaching = [each for each in state.boxes if told is None or each.name in told]
-        homes = exchange.home_regions
-        if homes is not None:
+        reporting_names = state.reaching.get(exchange.pool)
+        reaching = [
+            each for each in state.boxes if reporting_names is None or each.name in reporting_names
+        ]
+        home_regions = exchange.home_regions
+        if home_regions is not None:
             # The request is already in this region; beyond it, only its home regions may get it.
-            reaching = self._regions.filter_by_region(reaching, homes | {self._region})
+            reaching = self._regions.filter_by_region(reaching, home_regions | {self._region})
         now_s = self._clock.monotonic_s()
-        return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
+        return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MAX_BOXES_TRIED]
 
-    def _ask(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
+    def _forward_to(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
         """Return a box's response, ``None`` if it ran nothing and another may be tried.
 
         Raises `errors.CroftpulleyError` if the box may have sent the request to an endpoint, or if
@@ -128,28 +130,30 @@
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         if left_s < attempt.LEAST_BUDGET_S:
             raise errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
-        handed = exchange.attempts.begin(peer.name)
+        hop_attempt = exchange.attempts.begin(peer.name)
         try:
-            answer = self._send(exchange, peer, handed, left_s)
+            answer = self._send(exchange, peer, hop_attempt, left_s)
         except errors.CroftpulleyError as failure:
-            self._failed(exchange, peer, failure)
-            if handed.run_state is not codes.RunState.NOT_RUN:
+            self._record_failure(exchange, peer, failure)
+            if hop_attempt.run_state is not codes.RunState.NOT_RUN:
                 raise
-            exchange.attempts.discard(handed)
+            exchange.attempts.discard(hop_attempt)
             return None
         if not answer.header(REFUSED):
             return answer
         answer.close()
-        exchange.attempts.discard(handed)
+        exchange.attempts.discard(hop_attempt)
         detail = f"{peer.name}: {answer.header(REFUSED)}"
-        self._failed(exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail))
+        self._record_failure(
+            exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail)
+        )
         return None
 
     def _send(
         self,
         exchange: base.Exchange,
         peer: membership.Box,
-        handed: attempts.Attempt,
+        hop_attempt: attempts.Attempt,
         left_s: float,
     ) -> sender.Answer:
         request = exchange.request
@@ -157,10 +161,10 @@
             peer.peer_address,
             min(CONNECT_TIMEOUT_S, left_s),
             self._silence_timeout_s,
-            SILENT_LIMIT_S,
+            KEEPALIVE_TIMEOUT_S,
             asks_alive=True,
         )
-        link = connection.Exchange(target, handed, exchange.token, connection.PEER_FAILURES)
+        link = connection.Exchange(target, hop_attempt, exchange.token, connection.PEER_FAILURES)
         outgoing = connection.HttpRequest(
             request.method,
             request.target,
@@ -168,28 +172,32 @@
             None,
             self._headers(exchange, left_s),
         )
-        return sender.begin(link, outgoing, handed)
+        return sender.begin(link, outgoing, hop_attempt)
 
     def _headers(self, exchange: base.Exchange, left_s: float) -> dict[str, str]:
         """Return the caller's headers, with the remaining time and the headers of a hop."""
-        given = headers.of_request(exchange.request)
+        caller_headers = headers.end_to_end_headers(exchange.request)
         version = exchange.state.configuration.version
-        told = {BOX: self._box, VERSION: str(version)}
-        return {**given, self._names.budget_ms: str(max(1, int(left_s * 1000))), **told}
-
-    def _passed_on(self, exchange: base.Exchange, answer: sender.Answer) -> base.ForwardReply:
-        passed_on = headers.to_caller(answer.headers)
+        hop_headers = {BOX: self._box, VERSION: str(version)}
+        return {
+            **caller_headers,
+            self._names.budget_ms: str(max(1, int(left_s * 1000))),
+            **hop_headers,
+        }
+
+    def _to_reply(self, exchange: base.Exchange, answer: sender.Answer) -> base.ForwardReply:
+        reply_headers = headers.to_caller(answer.headers)
         is_stream = exchange.known_route.kind is fleet.RouteKind.STREAM
         if is_stream and answer.is_success:
             exchange.at_end.callback(answer.close)
-            return base.ForwardReply(answer.status, passed_on, _chunks(answer))
+            return base.ForwardReply(answer.status, reply_headers, _chunks(answer))
         try:
             body = sender.read_whole(answer, sender.WHOLE_ANSWER_BYTES)
         finally:
             answer.close()
-        return base.ForwardReply(answer.status, passed_on, body)
+        return base.ForwardReply(answer.status, reply_headers, body)
 
-    def _took(self, exchange: base.Exchange, peer: membership.Box) -> None:
+    def _record_success(self, exchange: base.Exchange, peer: membership.Box) -> None:
         self._counters.hop(exchange.pool, "answered")
         events.emit(
             _LOG,
@@ -200,7 +208,7 @@
             attempts=len(exchange.attempts.attempts),
         )
 
-    def _failed(
+    def _record_failure(
         self, exchange: base.Exchange, peer: membership.Box, failure: errors.CroftpulleyError
     ) -> None:
         self._peers.failed(peer.name, self._clock.monotonic_s())
--- a/src/croftpulley/forwarding/sender.py
+++ b/src/croftpulley/forwarding/sender.py
@@ -81,11 +81,13 @@
         self,
         connect_timeout_s: float,
         silence_timeout_s: float,
-        way: Callable[[membership.Endpoint], dialing.Dialer] = lambda _endpoint: dialing.DIRECT,
+        dialer_for: Callable[[membership.Endpoint], dialing.Dialer] = lambda _endpoint: (
+            dialing.DIRECT
+        ),
     ) -> None:
         self._connect_timeout_s = connect_timeout_s
         self._silence_timeout_s = silence_timeout_s
-        self._way = way
+        self._dialer_for = dialer_for
 
     def send(self, order: Order, attempt: attempts.Attempt, token: cancel.CancelToken) -> Answer:
         """Send an attempt and return its response; see `Sender.send`."""
@@ -96,7 +98,7 @@
             order.arrival_limit_s,
         )
         exchange = connection.Exchange(
-            target, attempt, token, connection.WORKER_FAILURES, self._way(order.endpoint)
+            target, attempt, token, connection.WORKER_FAILURES, self._dialer_for(order.endpoint)
         )
         request = connection.HttpRequest(
             order.method,
--- a/src/croftpulley/forwarding/service.py
+++ b/src/croftpulley/forwarding/service.py
@@ -60,29 +60,29 @@
         self,
         state: router_state.RouterState,
         pool: str,
-        homes: frozenset[str] | None,
+        home_regions: frozenset[str] | None,
         version: str | None = None,
     ) -> Members:
-        """Return a pool's members in the regions ``homes``; in service only those of ``version``."""
+        """Return the members in ``home_regions``; in service are only those of ``version``."""
         if self._endpoints is not state.endpoints or self._evacuated is not state.evacuated:
             self._members = {}
             self._endpoints = state.endpoints
             self._evacuated = state.evacuated
-        found = self._members.get((pool, homes, version))
+        found = self._members.get((pool, home_regions, version))
         if found is None:
-            found = self._look_up(state, pool, homes, version)
-            self._members[pool, homes, version] = found
+            found = self._find_members(state, pool, home_regions, version)
+            self._members[pool, home_regions, version] = found
         return found
 
-    def _look_up(
+    def _find_members(
         self,
         state: router_state.RouterState,
         pool: str,
-        homes: frozenset[str] | None,
+        home_regions: frozenset[str] | None,
         version: str | None,
     ) -> Members:
         of_pool = [each for each in state.endpoints if each.pool == pool]
-        by_key = {each.key: each for each in self._regions.filter_by_region(of_pool, homes)}
+        by_key = {each.key: each for each in self._regions.filter_by_region(of_pool, home_regions)}
         evacuated = state.evacuated.names
         in_service = {
             key: each
@@ -143,7 +143,7 @@
     state: router_state.RouterState,
     pool: str,
     members: Members,
-    homes_bind: frozenset[str] | None,
+    required_regions: frozenset[str] | None,
 ) -> errors.CroftpulleyError:
     """Return the error for a request with no endpoint in service, or none left to try."""
     code = codes.ResultCode.NO_ENGINE
@@ -163,5 +163,11 @@
         return errors.CroftpulleyError(
             code, f"pool {pool!r} has no endpoint but in evacuated halls: {', '.join(evacuated)}"
         )
-    where = "" if homes_bind is None else f" in {', '.join(sorted(homes_bind)) or 'no region'}"
-    return errors.CroftpulleyError(code, f"pool {pool!r} has no endpoint that may be asked{where}")
+    region_suffix = (
+        ""
+        if required_regions is None
+        else f" in {', '.join(sorted(required_regions)) or 'no region'}"
+    )
+    return errors.CroftpulleyError(
+        code, f"pool {pool!r} has no endpoint that may be asked{region_suffix}"
+    )
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -55,7 +55,7 @@
 
 
 @pytest.fixture
-def leave(view, counts, clock):
+def send(view, counts, clock):
     """Return a function that does what a sender does just before the first byte."""
     last_look = departures.LastLook(
         view, counts, service.Service(halls.HallRegions({})), metrics.Metrics(), clock
@@ -71,31 +71,31 @@
     return look
 
 
-def change(view, **changes):
+def change_state(view, **changes):
     view.publish(attrs.evolve(view.get(), **changes))
 
 
-def bar_of(leave, placed=PLACED):
+def block_reason(send, placed=PLACED):
     with pytest.raises(departures.HeldBackError) as caught:
-        leave(placed)
+        send(placed)
     return caught.value.bar
 
 
-def test_a_request_is_sent_to_an_endpoint_in_service(leave):
-    leave()
+def test_a_request_is_sent_to_an_endpoint_in_service(send):
+    send()
 
 
-def test_no_request_is_sent_until_a_rest_that_began_meanwhile_is_over(leave, counts, clock):
+def test_no_request_is_sent_until_a_rest_that_began_meanwhile_is_over(send, counts, clock):
     counts.hear("e", withdrawal.Notice(rest_s=3.0))
     clock.advance(2.9)
-    assert bar_of(leave) is service.Bar.WITHDRAWN
+    assert block_reason(send) is service.Bar.WITHDRAWN
     clock.advance(0.1)
-    leave()
+    send()
 
 
-def test_no_request_is_sent_to_an_endpoint_that_announced_its_shutdown(leave, counts):
+def test_no_request_is_sent_to_an_endpoint_that_announced_its_shutdown(send, counts):
     counts.hear("e", withdrawal.Notice(leaves=True))
-    assert bar_of(leave) is service.Bar.WITHDRAWN
+    assert block_reason(send) is service.Bar.WITHDRAWN
 
 
 @pytest.mark.parametrize(
@@ -106,31 +106,31 @@
         ({"evacuated": halls.EvacuatedHalls(1, ("h",))}, service.Bar.EVACUATED),
     ],
 )
-def test_no_request_is_sent_after_a_change_of_the_list_or_an_evacuation(leave, view, changes, bar):
-    change(view, **changes)
-    assert bar_of(leave) is bar
+def test_no_request_is_sent_after_a_change_of_the_list_or_an_evacuation(send, view, changes, bar):
+    change_state(view, **changes)
+    assert block_reason(send) is bar
 
 
 def test_an_endpoint_that_turned_cold_gets_only_requests_counted_in_its_quota(
-    leave, view, counts, clock
+    send, view, counts, clock
 ):
-    change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
-    assert bar_of(leave) is service.Bar.COLD
-    leave(attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S)))
+    change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
+    assert block_reason(send) is service.Bar.COLD
+    send(attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S)))
 
 
 def test_a_request_to_a_cold_endpoint_is_held_back_once_its_quota_has_expired(
-    leave, view, counts, clock
+    send, view, counts, clock
 ):
-    change(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
+    change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
     clock.advance(send_quotas.QUOTA_TTL_S)
-    assert bar_of(leave, placed) is service.Bar.COLD
+    assert block_reason(send, placed) is service.Bar.COLD
 
 
-def test_a_repeat_that_is_held_back_does_not_count_as_sent(leave, counts, clock):
+def test_a_repeat_that_is_held_back_does_not_count_as_sent(send, counts, clock):
     repeat = retry_budget.Repeat(at_s=1.0)
     counts.hear("e", withdrawal.Notice(rest_s=3.0))
     with pytest.raises(departures.HeldBackError):
-        leave(repeat=repeat)
+        send(repeat=repeat)
     assert repeat.at_s == 1.0
