--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -2,7 +2,7 @@
 
 An endpoint is chosen before the connection is established, which may take a second. By then the
 router's state may have changed: the endpoint asked for rest (a 503 with Retry-After), shuts down,
-was evacuated, or turned cold.
+was evacuated, or turned cold. One check covers all these reasons.
 """
 
 from __future__ import annotations
--- a/src/croftpulley/forwarding/service.py
+++ b/src/croftpulley/forwarding/service.py
@@ -107,7 +107,7 @@
     """The endpoints in service for a request at one moment.
 
     ``held_tokens`` is how many tokens of the prompt each engine likely has in its cache, including
-    engines not in service. An endpoint with ``most_load`` requests or more is not sent this one.
+    engines not in service. An endpoint with ``max_load`` requests or more is not sent this one.
     Brittle endpoints also get no more requests than they have slots.
     """
 
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -57,7 +57,7 @@
 @pytest.fixture
 def send(view, counts, clock):
     """Return a function that does what a sender does just before the first byte."""
-    last_look = departures.LastLook(
+    pre_send_check = departures.LastLook(
         view, counts, service.Service(halls.HallRegions({})), metrics.Metrics(), clock
     )
 
@@ -66,7 +66,7 @@
         exchange = base.Exchange(
             request=request, facts=calls.CallFacts(request_id="r"), state=view.get(), route=ROUTE
         )
-        last_look.before(exchange, placed, repeat)()
+        pre_send_check.before(exchange, placed, repeat)()
 
     return look
 
