--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one endpoint: sent, counted in, and counted out when it is closed."""
+"""Sends one attempt to one endpoint and counts it as in flight until it is closed."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
 )
 
 LEAST_BUDGET_S = 0.02
-"""With less time left than this no endpoint can answer; it is not asked."""
+"""With less time left than this no endpoint can respond, so no attempt is sent."""
 
 
 @attrs.define
 class OpenAttempt:
-    """An attempt whose answer has begun: counted at its endpoint until it is closed.
+    """An attempt whose response has begun; it counts as in flight until it is closed.
 
-    ``on_close`` is called then, once, and ``on_event`` for each event of a stream.
+    ``on_close`` is called once, when it is closed, and ``on_event`` for each event of a stream.
+    ``reading_tokens`` are those that count as the engine's prefill until the first event.
     """
 
     endpoint: membership.Endpoint
@@ -40,65 +41,65 @@
     counts: traffic.Traffic
     on_close: Callable[[], None]
     on_event: Callable[[], None]
-    reading_tokens: int = 0
+    prefill_tokens: int = 0
     closed: bool = False
 
-    def event_came(self) -> None:
-        """Note that an event of the answer has come."""
-        self.prompt_is_read()
+    def record_event(self) -> None:
+        """Record that an event of the response has arrived."""
+        self.end_prefill()
         self.on_event()
 
-    def prompt_is_read(self) -> None:
-        """Note that the first event came: the prompt holds nobody up any more."""
-        tokens, self.reading_tokens = self.reading_tokens, 0
+    def end_prefill(self) -> None:
+        """Stop counting the prompt as prefill; a second call does nothing."""
+        tokens, self.prefill_tokens = self.prefill_tokens, 0
         if tokens:
             self.counts.end_reading(self.endpoint.key, tokens)
 
     def close(self) -> None:
-        """Free the connection and count the attempt out; a second call does nothing."""
+        """Free the connection and stop counting the attempt; a second call does nothing."""
         if not self.closed:
             self.closed = True
             self.answer.close()
-            self.prompt_is_read()
+            self.end_prefill()
             self.counts.leave(self.endpoint.key)
             self.on_close()
 
 
 class Opener:
-    """Sends attempts."""
+    """Sends attempts to endpoints and keeps the counts of what is in flight."""
 
     def __init__(
         self,
-        way: sender.Sender,
+        attempt_sender: sender.Sender,
         counts: traffic.Traffic,
         gate: suspects.Gate,
-        said: notices.Notices,
-        last_look: departures.LastLook,
-        known: reach.Reach,
-        names: vocabulary.Vocabulary,
+        endpoint_notices: notices.Notices,
+        pre_send_check: departures.LastLook,
+        pool_reach: reach.Reach,
+        header_names: vocabulary.Vocabulary,
         clock: clocks.Clock,
     ) -> None:
-        self._sender = way
+        self._sender = attempt_sender
         self._counts = counts
         self._gate = gate
-        self._notices = said
-        self._last_look = last_look
-        self._reach = known
-        self._names = names
+        self._notices = endpoint_notices
+        self._pre_send_check = pre_send_check
+        self._reach = pool_reach
+        self._header_names = header_names
         self._clock = clock
 
     def open(
         self, exchange: base.Exchange, placed: place.Placed, last_event_id: str
     ) -> OpenAttempt:
-        """Send the request to an endpoint and return once its answer has begun.
+        """Send the request to an endpoint and return once the head of its response is there.
 
-        Raises `errors.CroftpulleyError`; nothing is counted at the endpoint then.
+        Raises `errors.CroftpulleyError`; the attempt then no longer counts as in flight.
         """
         try:
             return self._open(exchange, placed, last_event_id)
         except BaseException:
             if placed.departure is not None:
-                # Whatever has left has left by now.
+                # Nothing more is sent, so the time of sending is at most now.
                 self._counts.cold_leaves(placed.departure)
             raise
 
@@ -108,8 +109,8 @@
         endpoint = placed.endpoint
         budget_s = exchange.deadline_s - self._clock.monotonic_s()
         if budget_s < LEAST_BUDGET_S:
-            late = errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
-            raise failures.final(exchange, late)
+            deadline_error = errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
+            raise failures.final(exchange, deadline_error)
         attempt = exchange.attempts.begin(endpoint.key)
         outgoing = headers.Outgoing(
             endpoint=endpoint,
@@ -117,14 +118,14 @@
             last_event_id=last_event_id,
             cache_from=placed.cache_from,
         )
-        order = self._order(exchange, outgoing, placed)
+        outgoing_request = self._outgoing_request(exchange, outgoing, placed)
         self._counts.enter(endpoint.key)
         self._counts.begin_reading(exchange.facts, endpoint.key, placed.reading_tokens)
         self._gate.began(exchange, endpoint, attempt)
         on_close = functools.partial(self._gate.ended, exchange, endpoint, attempt)
         on_event = functools.partial(self._gate.wrote, exchange, endpoint, attempt)
         try:
-            answer = self._sender.send(order, attempt, exchange.token)
+            answer = self._sender.send(outgoing_request, attempt, exchange.token)
         except BaseException as failure:
             if isinstance(failure, departures.HeldBackError):
                 exchange.attempts.discard(attempt)
@@ -140,18 +141,18 @@
             endpoint, attempt, answer, self._counts, on_close, on_event, placed.reading_tokens
         )
 
-    def _order(
+    def _outgoing_request(
         self, exchange: base.Exchange, outgoing: headers.Outgoing, placed: place.Placed
     ) -> sender.Order:
         repeat = exchange.repeat.repeat if exchange.repeat else None
-        leaving = self._last_look.before(exchange, placed, repeat)
+        send_callback = self._pre_send_check.before(exchange, placed, repeat)
         return sender.Order(
             endpoint=outgoing.endpoint,
             method=exchange.request.method,
             target=exchange.request.target,
-            headers=headers.to_endpoint(exchange, outgoing, self._names),
+            headers=headers.to_endpoint(exchange, outgoing, self._header_names),
             body=exchange.request.body,
-            # The shared budget counts a repeat for so long as it may still arrive.
+            # The shared retry budget counts a repeat as long as it may still arrive.
             arrival_limit_s=self._counts.arrival_s if repeat is not None else None,
-            on_leaving=leaving,
+            on_leaving=send_callback,
         )
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -1,7 +1,8 @@
-"""The last look before a request's first byte leaves, the same for whatever may hold it back.
+"""The check just before the first byte of a request is sent.
 
-A request is placed before its connection is there, which may take a second, and what its router
-knows may be other by then: the endpoint asked for rest, leaves, was evacuated, or turned cold.
+An endpoint is chosen before the connection is established, which may take a second. By then the
+router's state may have changed: the endpoint asked for rest (a 503 with Retry-After), shuts down,
+was evacuated, or turned cold. One check covers all these reasons.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class HeldBackError(errors.CroftpulleyError):
-    """Nothing left for an endpoint, which may be sent no requests any more."""
+    """Nothing was sent, since the endpoint may no longer be sent requests."""
 
     def __init__(self, placed: place.Placed, bar: service.Bar) -> None:
         super().__init__(codes.ResultCode.DECLINED, f"{placed.endpoint.key}: {bar.value}")
@@ -28,38 +29,38 @@
 
 
 class LastLook:
-    """Lets a request leave, or holds it back."""
+    """Checks whether an endpoint may still be sent a request that was placed there."""
 
     def __init__(
         self,
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
-        pools: service.Service,
+        pool_members: service.Service,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
         self._view = view
         self._counts = counts
-        self._service = pools
+        self._pool_members = pool_members
         self._counters = counters
         self._clock = clock
 
     def before(
         self, exchange: base.Exchange, placed: place.Placed, repeat: retry_budget.Repeat | None
     ) -> Callable[[], None]:
-        """Return what to call before the first byte leaves, and once more after the last.
+        """Return a callback for just before the first byte is sent and again after the last.
 
-        The first call raises `HeldBackError` if nothing may leave.
+        Its first call raises `HeldBackError` if nothing may be sent.
         """
-        has_looked = False
+        is_checked = False
 
         def on_leaving() -> None:
-            nonlocal has_looked
-            if has_looked:
+            nonlocal is_checked
+            if is_checked:
                 self._counts.sent(placed.endpoint.key)
             else:
-                self._look(exchange, placed)
-            has_looked = True
+                self._check(exchange, placed)
+            is_checked = True
             if repeat is not None:
                 self._counts.repeat_leaves(repeat)
             if placed.departure is not None:
@@ -67,38 +68,38 @@
 
         return on_leaving
 
-    def _look(self, exchange: base.Exchange, placed: place.Placed) -> None:
-        bar = self._bar(exchange, placed)
-        if bar is None:
+    def _check(self, exchange: base.Exchange, placed: place.Placed) -> None:
+        reason = self._block_reason(exchange, placed)
+        if reason is None:
             return
-        self._counters.held_back(bar.value)
+        self._counters.held_back(reason.value)
         events.emit(
             _LOG,
             events.Event.SEND_HELD_BACK,
             request_id=exchange.facts.request_id,
             endpoint=placed.endpoint.key,
-            bar=bar.value,
+            bar=reason.value,
         )
-        raise HeldBackError(placed, bar)
+        raise HeldBackError(placed, reason)
 
-    def _bar(self, exchange: base.Exchange, placed: place.Placed) -> service.Bar | None:
+    def _block_reason(self, exchange: base.Exchange, placed: place.Placed) -> service.Bar | None:
         state = self._view.get()
         endpoint = placed.endpoint
-        members = self._service.members(
+        members = self._pool_members.members(
             state, exchange.pool, exchange.home_regions, exchange.version
         )
         listed = members.in_service.get(endpoint.key)
         if listed is None:
             return service.bar_by_list(members, state, endpoint.key)
         if listed.version != endpoint.version:
-            # What the answer is remembered by would not be what wrote it.
+            # The response would be recorded under a version that did not produce it.
             return service.Bar.OTHER_VERSION
         now_s = self._clock.monotonic_s()
         if self._counts.is_withdrawn(endpoint.key):
             return service.Bar.WITHDRAWN
         if not state.may_be_cold:
             return None
-        a_second = state.cold_a_second(endpoint, now_s)
-        if a_second is None or (a_second and placed.departure is not None):
+        cold_quota_per_s = state.cold_a_second(endpoint, now_s)
+        if cold_quota_per_s is None or (cold_quota_per_s and placed.departure is not None):
             return None
         return service.Bar.COLD
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -1,9 +1,9 @@
-"""Handing a request to another box, where this one reaches no endpoint of its pool.
+"""Forwards a request to another box if this one reaches no endpoint of its pool.
 
-The other box gets the request as the caller sent it, checks it as if the caller had come there and
-has all the say on where it goes; its answer is passed on as it is. It hands nothing on itself:
-there is one hop, never two. A hop needs no proof of who sends it, as it may do no more than a
-caller may.
+The other box gets the request as the caller sent it, checks it like a request from a caller and
+alone decides where it goes; its response is returned unchanged. It does not forward the request to
+a further box: there is at most one hop. A hop is not authenticated, since it has no more rights
+than a caller.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 _LOG = logging.getLogger(__name__)
 BOX = "x-hop-box"
-"""The header with the name of the box that hands a request over."""
+"""The header with the name of the box that forwards a request."""
 VERSION = "x-hop-configuration"
-"""The header with the version of the configuration that this box has read the request by."""
+"""The header with the configuration version by which that box handled the request."""
 REFUSED = "x-hop-refused"
-"""The header of an answer to a hop: nothing ran, and another box should be asked."""
+"""The header of a response to a hop: nothing ran, and another box should be tried."""
 ELSEWHERE = frozenset(
     {
         codes.ResultCode.TOO_MANY_STREAMS,
@@ -37,36 +37,38 @@
         codes.ResultCode.OUT_OF_REACH,
     }
 )
-"""What a box refuses for its own sake: others may take the request."""
+"""Refusals that only concern the box itself: other boxes may accept the request."""
 HEADERS_ADDED = 3
-"""By a hop, at most: the two above, and the time that is left where the caller named none."""
+"""The most headers that a hop adds: the two request headers above, and the remaining time if the
+caller gave none."""
 HEADER_BYTES = 160
-"""Room for each of them beyond what callers may send: a box's name has 100 characters at most."""
-MOST_ASKED = 3
-"""Boxes that one request is handed to at most, one after another."""
+"""The size allowed for each of them on top of the limit for callers; a box name has at most 100
+characters."""
+MAX_BOXES_TRIED = 3
+"""The most boxes that one request is forwarded to, one after another."""
 CONNECT_TIMEOUT_S = 0.25
-"""For a connection to another box: a lost one must leave time for the next."""
-SILENT_LIMIT_S = 1.0
-"""How long another box may acknowledge nothing, asked each second, before it is taken for lost."""
+"""For a connection to another box: an unreachable one must leave time for the next."""
+KEEPALIVE_TIMEOUT_S = 1.0
+"""How long another box, probed every second, may acknowledge nothing before it counts as lost."""
 
 
-def read(given: Mapping[str, str]) -> base.Hop:
-    """Read what a hop says; ``given`` has names in lower case."""
-    version = given.get(VERSION, "")
+def read(header_values: Mapping[str, str]) -> base.Hop:
+    """Parse the headers of a hop; ``given`` has names in lower case. Invalid versions read as 0."""
+    version = header_values.get(VERSION, "")
     return base.Hop(
-        box=given.get(BOX, "")[:100],
+        box=header_values.get(BOX, "")[:100],
         configuration_version=int(version) if version.isdecimal() and len(version) < 16 else 0,
     )
 
 
 def is_for_others(exchange: base.Exchange, failure: errors.CroftpulleyError) -> bool:
-    """Tell whether another box may take a request that this one, handed it, has refused."""
+    """Tell whether another box may accept a forwarded request that this box has refused."""
     is_not_run = exchange.attempts.run_state is codes.RunState.NOT_RUN
     return is_not_run and failure.code in ELSEWHERE
 
 
 class Hops:
-    """The way to endpoints by other boxes."""
+    """Forwards requests to other boxes."""
 
     def __init__(
         self,
@@ -89,64 +91,69 @@
         self._clock = clock
         self._peers = peers.Peers(box, hall)
 
-    def reply(self, exchange: base.Exchange) -> base.ForwardReply:
-        """Return another box's answer.
+    def forward(self, exchange: base.Exchange) -> base.ForwardReply:
+        """Forward a request to other boxes, one after another, and return the first's response.
 
-        Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, where no box takes it.
+        Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, if no box accepts it.
         """
-        for peer in self._choose(exchange):
-            answer = self._ask(exchange, peer)
+        for peer in self._choose_boxes(exchange):
+            answer = self._forward_to(exchange, peer)
             if answer is not None:
-                self._took(exchange, peer)
-                return self._passed_on(exchange, answer)
-        # All that was asked said that it did nothing.
+                self._record_success(exchange, peer)
+                return self._to_reply(exchange, answer)
+        # Every box that was tried ran nothing.
         raise errors.CroftpulleyError(
             codes.ResultCode.OUT_OF_REACH,
             f"pool {exchange.pool!r}: reached neither from here nor by way of other boxes",
         )
 
-    def _choose(self, exchange: base.Exchange) -> list[membership.Box]:
+    def _choose_boxes(self, exchange: base.Exchange) -> list[membership.Box]:
         state = self._view.get()
-        told = state.reaching.get(exchange.pool)
-        reaching = [each for each in state.boxes if told is None or each.name in told]
-        homes = exchange.home_regions
-        if homes is not None:
-            # The request is here already; it goes on to no other region but its homes.
-            reaching = self._regions.filter_by_region(reaching, homes | {self._region})
+        reporting_names = state.reaching.get(exchange.pool)
+        reaching = [
+            each for each in state.boxes if reporting_names is None or each.name in reporting_names
+        ]
+        home_regions = exchange.home_regions
+        if home_regions is not None:
+            # The request is already in this region; beyond it, only its home regions may get it.
+            reaching = self._regions.filter_by_region(reaching, home_regions | {self._region})
         now_s = self._clock.monotonic_s()
-        return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MOST_ASKED]
+        return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MAX_BOXES_TRIED]
 
-    def _ask(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
-        """Return a box's answer, ``None`` where it took nothing and another may be asked.
+    def _forward_to(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
+        """Return a box's response, ``None`` if it ran nothing and another may be tried.
 
-        Raises `errors.CroftpulleyError` where the box may have passed the request on.
+        Raises `errors.CroftpulleyError` if the box may have sent the request to an endpoint, or if
+        the request was cancelled or has no time left.
         """
         exchange.token.check()
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         if left_s < attempt.LEAST_BUDGET_S:
             raise errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
-        handed = exchange.attempts.begin(peer.name)
+        hop_attempt = exchange.attempts.begin(peer.name)
         try:
-            answer = self._send(exchange, peer, handed, left_s)
+            answer = self._send(exchange, peer, hop_attempt, left_s)
         except errors.CroftpulleyError as failure:
-            self._failed(exchange, peer, failure)
-            if handed.run_state is not codes.RunState.NOT_RUN:
+            self._record_failure(exchange, peer, failure)
+            if hop_attempt.run_state is not codes.RunState.NOT_RUN:
                 raise
-            exchange.attempts.discard(handed)
+            exchange.attempts.discard(hop_attempt)
             return None
         if not answer.header(REFUSED):
             return answer
         answer.close()
-        exchange.attempts.discard(handed)
+        exchange.attempts.discard(hop_attempt)
         detail = f"{peer.name}: {answer.header(REFUSED)}"
-        self._failed(exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail))
+        self._record_failure(
+            exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail)
+        )
         return None
 
     def _send(
         self,
         exchange: base.Exchange,
         peer: membership.Box,
-        handed: attempts.Attempt,
+        hop_attempt: attempts.Attempt,
         left_s: float,
     ) -> sender.Answer:
         request = exchange.request
@@ -154,10 +161,10 @@
             peer.peer_address,
             min(CONNECT_TIMEOUT_S, left_s),
             self._silence_timeout_s,
-            SILENT_LIMIT_S,
+            KEEPALIVE_TIMEOUT_S,
             asks_alive=True,
         )
-        link = connection.Exchange(target, handed, exchange.token, connection.PEER_FAILURES)
+        link = connection.Exchange(target, hop_attempt, exchange.token, connection.PEER_FAILURES)
         outgoing = connection.HttpRequest(
             request.method,
             request.target,
@@ -165,28 +172,32 @@
             None,
             self._headers(exchange, left_s),
         )
-        return sender.begin(link, outgoing, handed)
+        return sender.begin(link, outgoing, hop_attempt)
 
     def _headers(self, exchange: base.Exchange, left_s: float) -> dict[str, str]:
-        """Return the caller's headers, with the time that is left and what a hop says."""
-        given = headers.of_request(exchange.request)
+        """Return the caller's headers, with the remaining time and the headers of a hop."""
+        caller_headers = headers.end_to_end_headers(exchange.request)
         version = exchange.state.configuration.version
-        told = {BOX: self._box, VERSION: str(version)}
-        return {**given, self._names.budget_ms: str(max(1, int(left_s * 1000))), **told}
-
-    def _passed_on(self, exchange: base.Exchange, answer: sender.Answer) -> base.ForwardReply:
-        passed_on = headers.to_caller(answer.headers)
+        hop_headers = {BOX: self._box, VERSION: str(version)}
+        return {
+            **caller_headers,
+            self._names.budget_ms: str(max(1, int(left_s * 1000))),
+            **hop_headers,
+        }
+
+    def _to_reply(self, exchange: base.Exchange, answer: sender.Answer) -> base.ForwardReply:
+        reply_headers = headers.to_caller(answer.headers)
         is_stream = exchange.known_route.kind is fleet.RouteKind.STREAM
         if is_stream and answer.is_success:
             exchange.at_end.callback(answer.close)
-            return base.ForwardReply(answer.status, passed_on, _chunks(answer))
+            return base.ForwardReply(answer.status, reply_headers, _chunks(answer))
         try:
             body = sender.read_whole(answer, sender.WHOLE_ANSWER_BYTES)
         finally:
             answer.close()
-        return base.ForwardReply(answer.status, passed_on, body)
+        return base.ForwardReply(answer.status, reply_headers, body)
 
-    def _took(self, exchange: base.Exchange, peer: membership.Box) -> None:
+    def _record_success(self, exchange: base.Exchange, peer: membership.Box) -> None:
         self._counters.hop(exchange.pool, "answered")
         events.emit(
             _LOG,
@@ -197,7 +208,7 @@
             attempts=len(exchange.attempts.attempts),
         )
 
-    def _failed(
+    def _record_failure(
         self, exchange: base.Exchange, peer: membership.Box, failure: errors.CroftpulleyError
     ) -> None:
         self._peers.failed(peer.name, self._clock.monotonic_s())
