--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -1,4 +1,4 @@
-"""The step that has a request wait for room at its pool's endpoints, or refuses it at once."""
+"""Admission control: queues a request until its pool has capacity, or rejects it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,16 @@
 from croftpulley.observe import events, metrics
 
 _LOG = logging.getLogger(__name__)
-_SPREAD = 1.0
-"""Of the time until there should be room: the least urgent return after twice as long."""
+_JITTER_SHARE = 1.0
+"""Jitter: callers retry within this share of the wait after its end, the least urgent ones last.
+At 1.0 the least urgent retry after twice the expected wait for capacity."""
 
 
 class TakePermit(base.ForwardFilter):
-    """Passes a request on once this box has a permit for it, where boxes share room."""
+    """Passes a request on once this box has a permit for it.
+
+    Applies only where boxes share a pool's capacity or its endpoints are brittle.
+    """
 
     def __init__(
         self,
@@ -34,13 +38,17 @@
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
-        """Pass the request on; its permit is given back when the exchange ends."""
+        """Pass the request on; its permit is released when the exchange ends.
+
+        Raises `permits.NoPermitError` if there is no permit in time.
+        """
         if self._counts.bounds_room(exchange.pool):
-            permit = self._take(exchange)
+            permit = self._acquire(exchange)
             exchange.at_end.callback(self._permits.give_back, permit)
         return proceed(exchange)
 
-    def _take(self, exchange: base.Exchange) -> permits.Permit:
+    def _acquire(self, exchange: base.Exchange) -> permits.Permit:
+        """Return a permit, waiting for it if needed; count and log the outcome."""
         request = permits.Request(
             pool=exchange.pool,
             workspace=exchange.workspace_name,
@@ -53,39 +61,43 @@
             permit = self._permits.take(request)
         except permits.NoPermitError as failure:
             self._counters.admission(request.workspace, request.urgency, "refused")
-            _tell(events.Event.ROOM_REFUSED, exchange, request, failure.figures, failure.waited_s)
-            failure.retry_after_s = self._come_back_s(exchange, request, failure.figures)
+            _log_event(
+                events.Event.ROOM_REFUSED, exchange, request, failure.figures, failure.waited_s
+            )
+            failure.retry_after_s = self._retry_after_s(exchange, request, failure.figures)
             raise
         except errors.CroftpulleyError:
             self._counters.admission(request.workspace, request.urgency, "left")
             raise
-        how = "at_once" if permit.figures is None else "waited"
-        self._counters.admission(request.workspace, request.urgency, how)
+        outcome = "at_once" if permit.figures is None else "waited"
+        self._counters.admission(request.workspace, request.urgency, outcome)
         if permit.figures is not None:
             self._counters.waited_for_room(request.urgency, permit.waited_s)
-            _tell(events.Event.ROOM_WAITED, exchange, request, permit.figures, permit.waited_s)
+            _log_event(events.Event.ROOM_WAITED, exchange, request, permit.figures, permit.waited_s)
         return permit
 
-    def _come_back_s(
+    def _retry_after_s(
         self, exchange: base.Exchange, request: permits.Request, figures: waiting_line.Figures
     ) -> float:
-        """Return when there should be room: the more urgent return first, not all together."""
-        chance = retry_times.hash_fraction(exchange.facts.request_id)
-        position = retry_times.queue_position(request.urgency, chance)
+        """Return in how many seconds the caller should retry: urgent first, spread over time."""
+        tie_breaker = retry_times.hash_fraction(exchange.facts.request_id)
+        position = retry_times.queue_position(request.urgency, tie_breaker)
         left_s = exchange.deadline_s - self._clock.monotonic_s()
-        # Where no start can be expected: when there are most likely others.
+        # ``starts_in_s`` is infinite if no start is expected; the upper limit then applies, when
+        # other requests have most likely ended.
         opens_in_s = min(figures.starts_in_s, retry_times.MAX_WAIT_SHARE * left_s)
-        return retry_times.wait_s(opens_in_s, left_s, _SPREAD, position)
+        return retry_times.wait_s(opens_in_s, left_s, _JITTER_SHARE, position)
 
 
-def _tell(
+def _log_event(
     event: events.Event,
     exchange: base.Exchange,
     request: permits.Request,
     figures: waiting_line.Figures,
     waited_s: float,
 ) -> None:
-    told = {name: round(value, 3) for name, value in attrs.asdict(figures).items()}
+    """Log an event with the queue figures that the permit decision was based on."""
+    rounded_figures = {name: round(value, 3) for name, value in attrs.asdict(figures).items()}
     events.emit(
         _LOG,
         event,
@@ -94,5 +106,5 @@
         workspace=request.workspace,
         urgency=request.urgency,
         waited_s=round(waited_s, 3),
-        **told,
+        **rounded_figures,
     )
--- a/src/croftpulley/forwarding/judge.py
+++ b/src/croftpulley/forwarding/judge.py
@@ -1,4 +1,4 @@
-"""What the head of an endpoint's answer says of the request and of the endpoint."""
+"""Classifies the status and headers of an endpoint's response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Judge:
-    """Reads the heads of answers."""
+    """Classifies responses and records failures of the endpoints that sent them."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         self._names = names
 
     def verdict(self, exchange: base.Exchange, answer: sender.Answer) -> verdicts.Verdict:
-        """Return what becomes of the request."""
+        """Return whether a response can be passed on to the caller, or why not."""
         names = self._names
         return verdicts.classify_response(
             verdicts.ResponseFacts(
@@ -33,30 +33,30 @@
             )
         )
 
-    def _stay_away(self, endpoint: membership.Endpoint) -> None:
-        """Send a brittle endpoint nothing for a while that has turned a request away."""
-        most = self._counts.most_turned_away(endpoint.pool) or 0
+    def _back_off(self, endpoint: membership.Endpoint) -> None:
+        """Send nothing for a while to a brittle endpoint that has rejected a request."""
+        limit = self._counts.most_turned_away(endpoint.pool) or 0
         boxes = self._view.get().registered_boxes
-        self._counts.stay_away(endpoint.key, brittle.backoff_s(most, boxes))
+        self._counts.stay_away(endpoint.key, brittle.backoff_s(limit, boxes))
 
     def refusal(
         self, current: attempt.OpenAttempt, verdict: verdicts.Verdict
     ) -> errors.CroftpulleyError:
-        """Note what an answer that is no success says of its endpoint; return it as an error."""
+        """Record an unsuccessful response against its endpoint; return the error for the caller."""
         status = current.answer.status
         where = f"{current.endpoint.address}: status {status}"
         if verdict is verdicts.Verdict.NOT_RUN:
-            # The head says so, whatever the body would say: the attempt has no more to tell.
+            # The headers settle that the request was not run, whatever the body says.
             current.attempt.phase = attempts.Phase.REFUSED
             if status == verdicts.MISDIRECTED:
                 self._counts.gone(current.endpoint.key)
             elif self._counts.is_brittle(current.endpoint.key):
-                self._stay_away(current.endpoint)
+                self._back_off(current.endpoint)
             elif not (
                 self._counts.is_withdrawn(current.endpoint.key)
                 or self._counts.is_full(current.endpoint.key)
             ):
-                # It does not say for how long: as long as one is avoided that fails.
+                # The response gives no duration, so the back-off is that after a failure.
                 self._counts.failed(current.endpoint.key)
             return errors.CroftpulleyError(codes.ResultCode.DECLINED, where)
         code = codes.ResultCode.ENGINE_REFUSED
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -1,4 +1,8 @@
-"""What endpoints say of themselves in the heads of their answers, taken and told of."""
+"""Applies, counts and logs what endpoints announce in their response headers.
+
+An endpoint may ask for a rest, announce that it shuts down, report its load, or state how many
+rejected requests a second it survives.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 _LOG = logging.getLogger(__name__)
 _RETRY_AFTER = "retry-after"
 _DATE = "date"
-_SHOWN = 100
-"""Characters of a value that cannot be read, in the log."""
+_MAX_LOGGED_LENGTH = 100
+"""Maximum number of characters of an unparsable header value in the log."""
 
 
 class Notices:
-    """Reads every answer's head, whichever request it is to and whatever becomes of that."""
+    """Reads the headers of every response, whatever the request and its result."""
 
     def __init__(
         self,
@@ -35,7 +39,7 @@
     def take(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
     ) -> None:
-        """Take what the head of an answer says of its endpoint."""
+        """Apply what the headers of a response announce about its endpoint."""
         if answer.status not in verdicts.NOT_RUN_STATUSES:
             self._counts.accepted(endpoint.key)
         notice = withdrawal.parse_notice(
@@ -45,24 +49,24 @@
             answer.header(_DATE),
             self._clock.wall_s(),
         )
-        self._take_load(exchange, endpoint, answer)
-        self._take_brittle(exchange, endpoint, answer)
+        self._apply_load_report(exchange, endpoint, answer)
+        self._apply_brittle_limit(exchange, endpoint, answer)
         if notice.is_empty:
             return
-        self._count(notice)
-        heard = self._counts.hear(endpoint.key, notice)
-        _tell(exchange, endpoint, notice, heard)
+        self._count_notice(notice)
+        news = self._counts.hear(endpoint.key, notice)
+        _log_news(exchange, endpoint, notice, news)
 
-    def _take_load(
+    def _apply_load_report(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
     ) -> None:
         text = answer.header(self._names.load)
-        # With 421 another endpoint has the address; it speaks of itself.
+        # With 421 the address now belongs to another endpoint: the header is about that one.
         if not text or answer.status == verdicts.MISDIRECTED:
             return
-        told = load_reports.parse(text)
-        if told is not None:
-            self._counts.hear_load(endpoint.key, told)
+        report = load_reports.parse(text)
+        if report is not None:
+            self._counts.hear_load(endpoint.key, report)
             return
         self._counters.notice("load_unusable")
         events.emit(
@@ -72,30 +76,30 @@
             request_id=exchange.facts.request_id,
             endpoint=endpoint.key,
             pool=endpoint.pool,
-            value=text[:_SHOWN],
+            value=text[:_MAX_LOGGED_LENGTH],
         )
 
-    def _take_brittle(
+    def _apply_brittle_limit(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
     ) -> None:
         if answer.status == verdicts.MISDIRECTED:
             return
         text = answer.header(self._names.brittle)
-        most = brittle.parse(text) if text else None
-        if text and most is None:
+        limit = brittle.parse(text) if text else None
+        if text and limit is None:
             self._counters.notice("brittle_unusable")
             return
-        if self._counts.hear_brittle(endpoint, most):
+        if self._counts.hear_brittle(endpoint, limit):
             events.emit(
                 _LOG,
                 events.Event.BRITTLE_SAID,
                 request_id=exchange.facts.request_id,
                 endpoint=endpoint.key,
                 pool=endpoint.pool,
-                most_turned_away=most,
+                most_turned_away=limit,
             )
 
-    def _count(self, notice: withdrawal.Notice) -> None:
+    def _count_notice(self, notice: withdrawal.Notice) -> None:
         if notice.rest_s:
             self._counters.notice("rest")
         if notice.leaves:
@@ -104,15 +108,15 @@
             self._counters.notice("unusable")
 
 
-def _tell(
+def _log_news(
     exchange: base.Exchange,
     endpoint: membership.Endpoint,
     notice: withdrawal.Notice,
-    heard: withdrawal.NoticeNews,
+    news: withdrawal.NoticeNews,
 ) -> None:
-    """Log what is news; an endpoint says the same in many answers."""
+    """Log only what is new: an endpoint repeats its announcements in many responses."""
     request_id = exchange.facts.request_id
-    if heard.rests:
+    if news.rests:
         events.emit(
             _LOG,
             events.Event.REST_ASKED,
@@ -122,7 +126,7 @@
             pool=endpoint.pool,
             rest_s=round(notice.rest_s, 3),
         )
-    if heard.leaves:
+    if news.leaves:
         events.emit(
             _LOG,
             events.Event.LEAVING_SAID,
@@ -131,12 +135,12 @@
             pool=endpoint.pool,
             is_listed_leaving=endpoint.leaving,
         )
-    if heard.is_unusable:
+    if news.is_unusable:
         events.emit(
             _LOG,
             events.Event.NOTICE_UNUSABLE,
             level=logging.WARNING,
             request_id=request_id,
             endpoint=endpoint.key,
-            values=[each[:_SHOWN] for each in notice.unusable],
+            values=[each[:_MAX_LOGGED_LENGTH] for each in notice.unusable],
         )
--- a/src/croftpulley/forwarding/ownership.py
+++ b/src/croftpulley/forwarding/ownership.py
@@ -1,7 +1,7 @@
-"""Whose each header of a request is, and so whether an endpoint may see what the caller sent in it.
+"""Decides which request headers of a caller are forwarded to an endpoint.
 
-Engines obey some headers at the cost of other requests: memory kept, slots reserved, copies made.
-Those are for the fleet to set. A caller who sends one is served as if it were not there.
+Some headers have an engine spend resources at the cost of other requests: retain memory, reserve
+slots, make copies. Only the fleet may set those; one that a caller sends is ignored.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class Owner(enum.Enum):
-    """Who sets a header, and what becomes of the one that the caller sent."""
+    """Who sets a header, and whether a caller's value is forwarded."""
 
     CALLER = "caller"
-    """Passed on as it is."""
+    """Forwarded unchanged."""
     FLEET = "fleet"
-    """Never passed on: the endpoint gets the fleet's own value or none."""
+    """Never forwarded: the endpoint gets the fleet's own value or none."""
     CONNECTION = "connection"
-    """Of the one connection that it came on: never passed on."""
+    """Hop-by-hop: valid for one connection only, never forwarded."""
 
 
 OF_ONE_CONNECTION = frozenset(
@@ -35,21 +35,21 @@
         "transfer-encoding",
         "upgrade",
         "expect",
-        # Written anew for the body as it is sent.
+        # Computed again for the body that is sent.
         "content-length",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and those computed again for each hop."""
 
 
 @functools.cache
 def owners(names: vocabulary.Vocabulary) -> dict[str, Owner]:
-    """Return the owner of every header, by its name in lower case, that is not the caller's.
+    """Return the owner of each header that callers don't own, by its name in lower case.
 
     >>> owners(vocabulary.OWN)["x-pin-ms"], owners(vocabulary.OWN).get("x-prompt-parts")
     (<Owner.FLEET: 'fleet'>, None)
     """
-    of_fleet = (
+    fleet_headers = (
         names.key,
         names.budget_ms,
         names.workspace,
@@ -64,12 +64,12 @@
     )
     return {
         **dict.fromkeys(OF_ONE_CONNECTION, Owner.CONNECTION),
-        **dict.fromkeys(of_fleet, Owner.FLEET),
+        **dict.fromkeys(fleet_headers, Owner.FLEET),
     }
 
 
 def owner(name: str, names: vocabulary.Vocabulary) -> Owner:
-    """Return whose a header is; ``name`` may be in any spelling of its letters.
+    """Return the owner of a header; ``name`` is not case-sensitive.
 
     >>> owner("X-Pin-Ms", vocabulary.OWN).name, owner("Accept-Language", vocabulary.OWN).name
     ('FLEET', 'CALLER')
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to."""
+"""Chooses the endpoint for each attempt of a request."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
 
 @attrs.frozen(kw_only=True)
 class Placed:
-    """An endpoint, the address of an engine from which it should fetch, and what it has to read."""
+    """The endpoint chosen for an attempt, and the prefill work that it will have.
+
+    ``cache_from`` is the address of an engine from which it should fetch cached prompt parts, empty
+    if none; ``reading_tokens`` is the number of tokens that it has to prefill.
+    """
 
     endpoint: membership.Endpoint
     cache_from: str = ""
     reading_tokens: int = 0
     departure: send_quotas.SendRecord | None = None
-    """Of a request to a cold endpoint."""
+    """Reserves a send to a cold endpoint within its quota; ``None`` for other endpoints."""
 
 
 class Placement:
-    """Chooses among the endpoints of a request's pool that are in service."""
+    """Chooses an endpoint among those of the request's pool that are in service."""
 
     def __init__(
         self,
@@ -41,12 +45,12 @@
         held: permits.Permits,
         clock: clocks.Clock,
     ) -> None:
-        self._programs = programs
+        self._steering = programs
         self._hall = hall
         self._view = view
         self._counts = counts
         self._service = pools
-        self._spill = spill
+        self._overload_limit = spill
         self._rates = rates
         self._permits = held
         self._clock = clock
@@ -54,33 +58,34 @@
     def choose(self, exchange: base.Exchange, tried: set[str]) -> Placed:
         """Return the endpoint for the next attempt.
 
-        Which endpoints are in service is looked up for each attempt: a stream may go on elsewhere
-        long after its request came. Raises NO_ENGINE, ENDPOINTS_COLD, ENDPOINTS_RESTING or
-        NO_CAPACITY if there is none.
+        ``tried`` has the keys of the endpoints that were asked already. The endpoints in service
+        are looked up for each attempt: a stream may resume elsewhere long after its request
+        arrived. Raises NO_ENGINE, ENDPOINTS_COLD, ENDPOINTS_RESTING or NO_CAPACITY if no endpoint
+        is available.
         """
-        passed_over = set(tried)
+        excluded = set(tried)
         while True:
             state = self._view.get()
-            placed = self._choose(exchange, state, passed_over)
+            placed = self._choose(exchange, state, excluded)
             if not state.may_be_cold:
                 return placed
-            a_second = state.cold_a_second(placed.endpoint, self._clock.monotonic_s())
-            if a_second is None:
+            quota_per_s = state.cold_a_second(placed.endpoint, self._clock.monotonic_s())
+            if quota_per_s is None:
                 return placed
-            departure = self._counts.take_cold(placed.endpoint.key, a_second)
-            if departure is not None:
-                return attrs.evolve(placed, departure=departure)
-            # Another request has just taken the last place.
-            passed_over.add(placed.endpoint.key)
+            send_record = self._counts.take_cold(placed.endpoint.key, quota_per_s)
+            if send_record is not None:
+                return attrs.evolve(placed, departure=send_record)
+            # Another request has just used up the quota of this endpoint.
+            excluded.add(placed.endpoint.key)
 
-    def has_other(self, exchange: base.Exchange, tried: set[str]) -> bool:
-        """Tell whether an endpoint that was not asked yet may be sent the request now."""
-        return bool(self._open(self.survey(exchange), tried))
+    def has_untried(self, exchange: base.Exchange, tried: set[str]) -> bool:
+        """Return whether an endpoint that is not in ``tried`` may be sent the request now."""
+        return bool(self._eligible(self.survey(exchange), tried))
 
     def survey(
         self, exchange: base.Exchange, state: router_state.RouterState | None = None
     ) -> service.Survey:
-        """Return the endpoints in service for a request, those that were asked already too."""
+        """Return the endpoints in service for a request, including those asked already."""
         state = state or self._view.get()
         members = self._service.members(
             state, exchange.pool, exchange.home_regions, exchange.version
@@ -91,120 +96,124 @@
             members=members,
             held_tokens=held_tokens,
             candidates=self._counts.candidates(members.in_service, state, held_tokens),
-            most_load=self._most_load(exchange, state),
+            most_load=self._max_load(exchange, state),
             now_s=self._clock.monotonic_s(),
             is_brittle=self._counts.most_turned_away(exchange.pool) is not None,
         )
 
-    def _most_load(self, exchange: base.Exchange, state: router_state.RouterState) -> float:
-        """Return how many requests one endpoint may have for this one to go there."""
+    def _max_load(self, exchange: base.Exchange, state: router_state.RouterState) -> float:
+        """Return the load from which on an endpoint does not get this request."""
         pool = state.tables.pools.get(exchange.pool)
         slots = pool.slots if pool else 0
         if self._counts.shares_room:
-            # Who has a permit was let in by rank; what it is for must not be refused again.
+            # Permits are granted by urgency already: a request that has one must not be rejected
+            # for its urgency again.
             return load_limits.max_endpoint_load(slots)
         return load_limits.max_load(slots, headers.urgency(exchange))
 
-    def _open(self, survey: service.Survey, passed_over: set[str]) -> list[selection.Candidate]:
-        """Return the endpoints that may be sent one more request now."""
+    def _eligible(self, survey: service.Survey, excluded: set[str]) -> list[selection.Candidate]:
+        """Return the endpoints that may be sent one more request now, without ``excluded``."""
         state, now_s = survey.state, survey.now_s
-        left = [
+        eligible = [
             each
             for each in survey.candidates
-            if each.name not in passed_over
+            if each.name not in excluded
             and each.withdrawn_until_s <= now_s
             and not survey.is_full(each)
         ]
         if not state.may_be_cold:
-            return left
+            return eligible
         by_key = survey.members.by_key
-        return [each for each in left if self._may_be_sent(by_key[each.name], state, now_s)]
+        return [each for each in eligible if self._is_within_quota(by_key[each.name], state, now_s)]
 
     def _choose(
-        self, exchange: base.Exchange, state: router_state.RouterState, passed_over: set[str]
+        self, exchange: base.Exchange, state: router_state.RouterState, excluded: set[str]
     ) -> Placed:
+        """Choose an endpoint that is not in ``excluded``; raise the refusal if there is none."""
         survey = self.survey(exchange, state)
-        open_now = self._open(survey, passed_over)
-        candidates = selection.without_avoided(open_now, survey.now_s)
+        eligible = self._eligible(survey, excluded)
+        candidates = selection.without_avoided(eligible, survey.now_s)
         if not candidates:
-            raise refusals.none_open(exchange, survey, passed_over)
+            raise refusals.no_endpoint_available(exchange, survey, excluded)
         prompt = _prompt(exchange)
-        most = max(survey.held_tokens.values(), default=0)
-        chosen = self._chosen(exchange, prompt, candidates, most)
+        max_held_tokens = max(survey.held_tokens.values(), default=0)
+        chosen = self._choose_candidate(exchange, prompt, candidates, max_held_tokens)
         if prompt is None:
             placed = Placed(endpoint=survey.members.by_key[chosen.name])
         else:
-            placed = self._placed(prompt, chosen, survey.held_tokens, survey.members)
-        self._log(exchange, placed.endpoint, chosen, candidates, survey.now_s)
+            placed = self._plan_prefill(prompt, chosen, survey.held_tokens, survey.members)
+        self._log_choice(exchange, placed.endpoint, chosen, candidates, survey.now_s)
         return placed
 
-    def _may_be_sent(
+    def _is_within_quota(
         self, endpoint: membership.Endpoint, state: router_state.RouterState, now_s: float
     ) -> bool:
-        """Tell whether an endpoint may be sent one more request, should it be cold."""
-        a_second = state.cold_a_second(endpoint, now_s)
-        return a_second is None or self._counts.may_send_cold(endpoint.key, a_second)
+        """Return whether an endpoint is not cold, or its quota allows one more request."""
+        quota_per_s = state.cold_a_second(endpoint, now_s)
+        return quota_per_s is None or self._counts.may_send_cold(endpoint.key, quota_per_s)
 
-    def _chosen(
+    def _choose_candidate(
         self,
         exchange: base.Exchange,
         prompt: selection.Prompt | None,
         candidates: list[selection.Candidate],
         most_held_tokens: int,
     ) -> selection.Candidate:
-        """Return the choice of the request's arm, or the built-in one."""
+        """Return the endpoint that the request's policy arm chooses, or the built-in choice."""
         if exchange.trial:
-            # Whatever runs beside it ends with it, should it end the endpoint.
+            # Least load: if this suspect request crashes the endpoint, all requests there fail.
             return min(candidates, key=lambda each: (each.load, each.reading_tokens))
         if prompt is None:
-            built_in = self._plain_choice(exchange, candidates)
-            # The built-in choice needs no cap here; only programs do.
+            built_in = self._choose_without_prompt(exchange, candidates)
+            # Only operators' programs need the overload limit here, the built-in choice does not.
             if exchange.state.tables.arms.is_empty:
                 return built_in
-            fit = self._spill.eligible(candidates)
+            eligible = self._overload_limit.eligible(candidates)
         else:
-            fit = self._spill.eligible(candidates)
-            built_in = selection.choose_for_prompt(prompt, fit, most_held_tokens, self._rates)
-        return self._programs.chosen(exchange, fit, most_held_tokens, built_in)
+            eligible = self._overload_limit.eligible(candidates)
+            built_in = selection.choose_for_prompt(prompt, eligible, most_held_tokens, self._rates)
+        return self._steering.choose(exchange, eligible, most_held_tokens, built_in)
 
-    def _plain_choice(
+    def _choose_without_prompt(
         self, exchange: base.Exchange, candidates: list[selection.Candidate]
     ) -> selection.Candidate:
-        """Choose for a request without a prompt that others share."""
+        """Choose an endpoint for a request that shares no prompt prefix with others."""
         request_id = exchange.facts.request_id
         if not self._counts.shares_room:
             return selection.choose_least_busy(request_id, candidates, self._hall)
         age_s = self._clock.monotonic_s() - self._view.get().loads_at_s
-        kept = selection.remaining_load_fraction(age_s, self._permits.hold_s(exchange.pool))
-        return selection.choose_evenly(request_id, candidates, kept)
+        remaining_fraction = selection.remaining_load_fraction(
+            age_s, self._permits.hold_s(exchange.pool)
+        )
+        return selection.choose_evenly(request_id, candidates, remaining_fraction)
 
     def _held_tokens(self, exchange: base.Exchange, members: service.Members) -> dict[str, int]:
-        """Return what each listed engine holds of the prompt; one that is leaving counts too."""
+        """Return how many prompt tokens each listed engine holds, also one that shuts down."""
         if not exchange.known_route.sticky:
             return {}
         held = self._counts.held_tokens(exchange.facts)
         return {key: tokens for key, tokens in held.items() if key in members.by_key}
 
     @staticmethod
-    def _placed(
+    def _plan_prefill(
         prompt: selection.Prompt,
         chosen: selection.Candidate,
         held_tokens: dict[str, int],
         members: service.Members,
     ) -> Placed:
-        """Work out what the engine must read, and from whom it fetches the rest."""
-        most = max(held_tokens.values(), default=0)
-        if most - chosen.held_tokens < prompt_part_index.MIN_PART_TOKENS:
-            most = chosen.held_tokens
-        reading = selection.prefill_work(prompt, chosen, most)
-        holders = sorted(key for key, tokens in held_tokens.items() if tokens == most)
+        """Return the placement with the tokens to prefill and the engine to fetch others from."""
+        max_held_tokens = max(held_tokens.values(), default=0)
+        if max_held_tokens - chosen.held_tokens < prompt_part_index.MIN_PART_TOKENS:
+            max_held_tokens = chosen.held_tokens
+        prefill = selection.prefill_work(prompt, chosen, max_held_tokens)
+        holders = sorted(key for key, tokens in held_tokens.items() if tokens == max_held_tokens)
         return Placed(
             endpoint=members.by_key[chosen.name],
-            cache_from=members.by_key[holders[0]].address if reading.tokens_to_fetch else "",
-            reading_tokens=reading.tokens_to_prefill,
+            cache_from=members.by_key[holders[0]].address if prefill.tokens_to_fetch else "",
+            reading_tokens=prefill.tokens_to_prefill,
         )
 
-    def _log(
+    def _log_choice(
         self,
         exchange: base.Exchange,
         endpoint: membership.Endpoint,
@@ -236,7 +245,7 @@
 
 
 def _prompt(exchange: base.Exchange) -> selection.Prompt | None:
-    """Return the prompt of a request whose beginning others share."""
+    """Return the prompt if others share its prefix and the route is sticky, else ``None``."""
     if not exchange.facts.shared_prefix or not exchange.known_route.sticky:
         return None
     return selection.Prompt.of(exchange.facts)
--- a/src/croftpulley/forwarding/relay.py
+++ b/src/croftpulley/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""The last step: attempts at endpoints until one answer is the caller's."""
+"""The last filter: sends a request to endpoints until one response can be returned."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 class Relay(base.ForwardFilter):
-    """Sends the request and returns the answer; a stream goes on elsewhere where it may."""
+    """Sends the request and returns the response; retries and resumes streams where allowed."""
 
     def __init__(
         self,
         placement: place.Placement,
-        way: sender.Sender,
+        request_sender: sender.Sender,
         counts: traffic.Traffic,
         gate: suspects.Gate,
         last_look: departures.LastLook,
@@ -44,18 +44,20 @@
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        said = notices.Notices(counts, names, counters, clock)
-        opener = attempt.Opener(way, counts, gate, said, last_look, known, names, clock)
-        heads = judge.Judge(counts, view, names)
+        notice_reader = notices.Notices(counts, names, counters, clock)
+        opener = attempt.Opener(
+            request_sender, counts, gate, notice_reader, last_look, known, names, clock
+        )
+        response_judge = judge.Judge(counts, view, names)
         self._counts = counts
         self._retry = retry.Retry(placement, counts, known, counters, clock)
         self._failover = failover.Failover(
-            placement, opener, heads, self._retry, gate, counts, known
+            placement, opener, response_judge, self._retry, gate, counts, known
         )
         self._stream = event_stream.EventStream(self._failover, self._retry, counts, known_origins)
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
-        """Return the endpoint's answer; raises `errors.CroftpulleyError` if there is none."""
+        """Return an endpoint's response; raises `errors.CroftpulleyError` if there is none."""
         self._counts.request(exchange.pool)
         tried: set[str] = set()
         while True:
@@ -74,29 +76,31 @@
     ) -> base.ForwardReply:
         is_stream = exchange.known_route.kind is fleet.RouteKind.STREAM
         if is_stream and current.answer.is_success:
-            return self._streamed(exchange, current, tried)
-        return self._whole(current)
+            return self._stream_reply(exchange, current, tried)
+        return self._complete_reply(current)
 
-    def _whole(self, current: attempt.OpenAttempt) -> base.ForwardReply:
+    def _complete_reply(self, current: attempt.OpenAttempt) -> base.ForwardReply:
+        """Read the complete response and close the attempt."""
         answer = current.answer
-        passed_on = headers.to_caller(answer.headers)
+        reply_headers = headers.to_caller(answer.headers)
         body = sender.read_whole(answer, sender.WHOLE_ANSWER_BYTES)
         current.close()
         if answer.status < verdicts.FIRST_SERVER_ERROR:
             self._counts.answered(current.endpoint.key)
-        return base.ForwardReply(answer.status, passed_on, body)
+        return base.ForwardReply(answer.status, reply_headers, body)
 
-    def _streamed(
+    def _stream_reply(
         self, exchange: base.Exchange, current: attempt.OpenAttempt, tried: set[str]
     ) -> base.ForwardReply:
+        """Return a reply that streams the events, once the first one has arrived."""
         answer = current.answer
-        passed_on = headers.to_caller(answer.headers)
+        reply_headers = headers.to_caller(answer.headers)
         events_left = self._stream.events(exchange, current, tried)
         exchange.at_end.callback(events_left.close)  # type: ignore[attr-defined]
-        # The first event must be there before the head goes out: until then another endpoint may
-        # be asked where the route allows it.
+        # The first event must have arrived before status and headers are sent: until then another
+        # endpoint may be asked where the route allows it.
         first = next(events_left, b"")
-        return base.ForwardReply(answer.status, passed_on, _chain(first, events_left))
+        return base.ForwardReply(answer.status, reply_headers, _chain(first, events_left))
 
 
 def _chain(first: bytes, rest: Iterator[bytes]) -> Iterator[bytes]:
--- a/src/croftpulley/forwarding/retry.py
+++ b/src/croftpulley/forwarding/retry.py
@@ -1,7 +1,7 @@
-"""Whether another endpoint may be asked after a failure, and what the caller is told if not.
+"""Decides whether a failed request is retried at another endpoint, and the caller's error if not.
 
-That depends on whether the endpoint can have run the request (`attempts.Attempt`) and on whether
-it may run again (`fleet.Route.may_repeat`), never on which exception was caught.
+This depends on whether the endpoint may have run the request (`attempts.Attempt`) and on whether
+the route allows it to run twice (`fleet.Route.may_repeat`), never on the type of the exception.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from croftpulley.forwarding import attempt, base, failures, place, refusals
 from croftpulley.observe import metrics
 
-MOST_SENDS = 4
-"""How many endpoints a request is sent to at most, those that declined it counted too."""
+MAX_SENDS = 4
+"""Maximum number of endpoints that a request is sent to, including those that declined it."""
 
 
 class Retry:
-    """Decides on repeats, within the routers' common budget."""
+    """Decides on retries, within the retry budget that all routers share."""
 
     def __init__(
         self,
@@ -37,36 +37,36 @@
     def may_go_on(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError, tried: set[str]
     ) -> bool:
-        """Tell whether an endpoint that is not in ``tried`` may be asked.
+        """Return whether the request may be sent to an endpoint that is not in ``tried``.
 
-        Takes one repeat from the budget if so.
+        Takes one retry from the budget if so, except after an attempt that was never sent.
         """
         if exchange.token.reason is not None:
             return False
         log = exchange.attempts.attempts
         ran = sum(each.run_state is not codes.RunState.NOT_RUN for each in log)
-        if len(log) >= MOST_SENDS or ran >= exchange.known_route.attempts:
+        if len(log) >= MAX_SENDS or ran >= exchange.known_route.attempts:
             return False
         if failure.run_state is not codes.RunState.NOT_RUN and not exchange.known_route.may_repeat:
             return False
         if self._clock.monotonic_s() + attempt.LEAST_BUDGET_S >= exchange.deadline_s:
             return False
-        if not self._placement.has_other(exchange, tried):
+        if not self._placement.has_untried(exchange, tried):
             return False
         if log and log[-1].phase is attempts.Phase.UNSENT:
-            return self._reaches_others(exchange)
+            return self._may_reach_others(exchange)
         exchange.repeat = self._counts.take_repeat(exchange.pool)
         if not exchange.repeat.is_granted:
             failures.log_held_back(exchange)
         self._counters.repeat(exchange.repeat.is_granted)
         return exchange.repeat.is_granted
 
-    def _reaches_others(self, exchange: base.Exchange) -> bool:
-        """Tell whether another endpoint may be reached where one was not.
+    def _may_reach_others(self, exchange: base.Exchange) -> bool:
+        """Return whether other endpoints are likely reachable after a failure to reach one.
 
-        Where the way is lost none is. A request that another box handed over goes back to it, which
-        asks a third one: this box may have lost the way as well and not know yet, unless it has
-        reached some endpoint of the pool lately.
+        They are not while the path to the pool is lost. A request from another box returns to it,
+        which asks a third box: this box may have lost its path too without having noticed, unless
+        it reached an endpoint of the pool recently.
         """
         if exchange.pool in self._reach.lost:
             return False
@@ -75,7 +75,7 @@
     def go_on_or_raise(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError, tried: set[str]
     ) -> None:
-        """Return if another endpoint may be asked, else raise what the caller is told."""
+        """Return if another endpoint may be asked, else raise the error for the caller."""
         if not self.may_go_on(exchange, failure, tried):
             raise self.final(exchange, failure) from failure
         failures.log_repeat(exchange, failure)
@@ -83,8 +83,8 @@
     def final(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError
     ) -> errors.CroftpulleyError:
-        """Make what the caller is told of all attempts, and when to come back."""
-        told = failures.final(exchange, failure)
-        if told.code is not codes.ResultCode.DECLINED:
-            return told
-        return refusals.declined(exchange, self._placement.survey(exchange), told)
+        """Return the error for the caller after all attempts, with the time to retry."""
+        error = failures.final(exchange, failure)
+        if error.code is not codes.ResultCode.DECLINED:
+            return error
+        return refusals.declined_error(exchange, self._placement.survey(exchange), error)
--- a/src/croftpulley/forwarding/steer.py
+++ b/src/croftpulley/forwarding/steer.py
@@ -1,4 +1,4 @@
-"""What operators' programs decide for a request, and what is counted of it."""
+"""Runs the operators' policy programs for a request and counts their decisions."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class Steering:
-    """Runs the programs of the arm that a request falls to."""
+    """Runs the programs of the arm that a request is assigned to."""
 
     def __init__(self, hall: str, counters: metrics.Metrics, clock: clocks.Clock) -> None:
         self._hall = hall
         self._counters = counters
         self._clock = clock
 
-    def chosen(
+    def choose(
         self,
         exchange: base.Exchange,
         candidates: Sequence[selection.Candidate],
         most_held_tokens: int,
         built_in: selection.Candidate,
     ) -> selection.Candidate:
-        """Return the endpoint to take: the arm's, or ``built_in`` where none decides otherwise.
+        """Return the endpoint that the arm chooses, or ``built_in`` if it makes no choice.
 
-        ``candidates`` are those that may take one more. Raises ARM_REFUSED if the arm's program
-        for admission has the caller come back later.
+        ``candidates`` are the endpoints that may get one more request. Raises ARM_REFUSED if the
+        arm's admission program has the caller retry later. An arm that does not act only counts.
         """
-        # Without arms a request is spared the values for programs.
+        # Without arms the input values of programs are not computed.
         if exchange.state.tables.arms.is_empty:
             return built_in
         request = self._request(exchange)
@@ -45,14 +45,14 @@
         exchange.arm = arm.name
         try:
             self._admit(exchange, arm, request, candidates, most_held_tokens)
-            wanted = arms.chosen(arm, request, candidates, most_held_tokens)
+            arm_choice = arms.chosen(arm, request, candidates, most_held_tokens)
         except language.ProgramError as failure:
-            self._failed(exchange, failure)
-            wanted = None
-        if wanted is not None:
-            alike = wanted.name == built_in.name
+            self._record_failure(exchange, failure)
+            arm_choice = None
+        if arm_choice is not None:
+            alike = arm_choice.name == built_in.name
             self._counters.arm_decision(arm.name, "alike" if alike else "other")
-        taken = wanted if wanted is not None and arm.acts else built_in
+        taken = arm_choice if arm_choice is not None and arm.acts else built_in
         held = min(taken.held_tokens, request.prompt_tokens)
         self._counters.arm_tokens(arm.name, held, request.prompt_tokens - held)
         return taken
@@ -65,7 +65,7 @@
         candidates: Sequence[selection.Candidate],
         most_held_tokens: int,
     ) -> None:
-        """Refuse a request that has not been sent to anyone, if the arm says so."""
+        """Raise ARM_REFUSED if the arm rejects a request that was not sent to any endpoint yet."""
         if exchange.attempts.attempts:
             return
         wait_s = arms.wait_s(arm, request, candidates, most_held_tokens)
@@ -82,7 +82,7 @@
         workspace = exchange.workspace
         left_s = exchange.deadline_s - self._clock.monotonic_s()
         return arms.Request(
-            # Requests with one beginning are one chat as far as a router can tell.
+            # A router takes requests with the same shared prefix for one chat.
             key=facts.shared_prefix[-1].part_id if facts.shared_prefix else facts.request_id,
             prompt_tokens=facts.prompt_tokens,
             shared_tokens=facts.shared_tokens,
@@ -91,7 +91,7 @@
             hall=self._hall,
         )
 
-    def _failed(self, exchange: base.Exchange, failure: language.ProgramError) -> None:
+    def _record_failure(self, exchange: base.Exchange, failure: language.ProgramError) -> None:
         self._counters.arm_decision(exchange.arm, "failed")
         events.emit(
             _LOG,
--- a/src/croftpulley/forwarding/suspects.py
+++ b/src/croftpulley/forwarding/suspects.py
@@ -1,8 +1,9 @@
-"""Whether a request may be sent under which, or under a part of whose prompt, endpoints ended.
+"""Decides whether a request may be sent that is suspected of crashing endpoints.
 
-Asked before each send, so that it bounds what one request does on its own as well as what it does
-when it comes again. A request that no endpoint ended under passes with two look-ups, and one more
-for each part of its prompt that others share.
+The suspect is the request itself or a part of its prompt. The check runs before each send, so it
+limits the crashes by retries of one request as well as by new requests with the same content. A
+request that is implicated in no crash costs two lookups, and one more for each part of its prompt
+that others share.
 """
 
 from __future__ import annotations
@@ -26,17 +27,18 @@
 
 _LOG = logging.getLogger(__name__)
 _UNANSWERED_RETRY_S = 1.0
-"""When to come back if no control box said whether it may be tried: an election takes so long."""
+"""Retry time if no control box answered whether a trial is granted: the length of an election."""
 _BUSY_RETRY_S = 0.5
-"""When to come back while it is tried elsewhere: most requests take less."""
-_SURVIVED_S = 0.5
-"""From the first event of an answer on: endpoints end within 0.1 s of beginning one."""
+"""Retry time while a trial runs elsewhere: most requests take less."""
+_SURVIVAL_TIME_S = 0.5
+"""An endpoint that streams this long after the first event has survived the request. Crashes occur
+within 0.1 s of the first event."""
 _TRIAL_SLACK_S = 1.0
-"""Beyond the request's own time: what a router takes to end it and to say so."""
+"""Added to the request's remaining time: a router needs it to end the request and report that."""
 
 
 class Gate:
-    """Holds suspects back, and notes what becomes of attempts."""
+    """Rejects suspect requests or sends them as trials, and records how attempts end."""
 
     def __init__(
         self,
@@ -55,24 +57,25 @@
         self._clock = clock
 
     def admit(self, exchange: base.Exchange) -> None:
-        """Return if the request may be sent to an endpoint now; raises REQUEST_CRASHES or
-        REQUEST_ON_TRIAL.
+        """Return if the request may be sent to an endpoint now, if needed as a trial.
+
+        Raises REQUEST_CRASHES or REQUEST_ON_TRIAL.
         """
         self.end_trial(exchange)
-        self._look_where_it_broke(exchange)
-        against = self._known.against((exchange.fingerprint, *exchange.part_features))
-        if not against:
+        self._probe_unclear_endpoints(exchange)
+        implicated = self._known.against((exchange.fingerprint, *exchange.part_features))
+        if not implicated:
             return
-        for feature, standing in against.items():
-            if standing.is_refused_to(_asker(exchange, feature, against)):
-                raise self._refused(feature, standing.crashes, standing.refused_for_s)
-        for feature, standing in against.items():
+        for feature, standing in implicated.items():
+            if standing.is_refused_to(_asker(exchange, feature, implicated)):
+                raise self._refused_error(feature, standing.crashes, standing.refused_for_s)
+        for feature, standing in implicated.items():
             if standing.put_off_for_s > 0:
-                raise self._put_off(feature, standing.crashes, _BUSY_RETRY_S)
-        self._begin_trials(exchange, against)
+                raise self._put_off_error(feature, standing.crashes, _BUSY_RETRY_S)
+        self._begin_trials(exchange, implicated)
 
     def end_trial(self, exchange: base.Exchange) -> None:
-        """Note that the trial of a request is over, if it has one."""
+        """Record that the request's trial is over, if it has one."""
         if exchange.trial:
             tried = exchange.attempts.attempts[exchange.attempts_before_trial :]
             was_sent = any(each.phase is not attempts.Phase.UNSENT for each in tried)
@@ -86,35 +89,38 @@
     def began(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
-        """Note that the request is about to be sent to an endpoint."""
-        self._known.begin(endpoint, _named(exchange), attempt)
+        """Record that the request is about to be sent to an endpoint."""
+        self._known.begin(endpoint, _identify(exchange), attempt)
 
     def ended(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
-        """Note how an attempt ended."""
-        ending = _ending(attempt, is_cancelled=exchange.token.reason is not None)
-        self._known.end(endpoint, _named(exchange), attempt, ending)
+        """Record how an attempt ended."""
+        ending = _classify_end(attempt, is_cancelled=exchange.token.reason is not None)
+        self._known.end(endpoint, _identify(exchange), attempt, ending)
 
     def answered(self, endpoint: membership.Endpoint) -> None:
-        """Note that an endpoint has begun a success."""
+        """Record that an endpoint has begun a successful response, so it is alive."""
         self._known.lives_on(endpoint)
 
     def wrote(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
-        """Note that an event of a stream has come."""
+        """Record a stream event; clears the prompt parts once the stream has lasted long enough."""
         if attempt.has_survived:
             return
         now_s = self._clock.monotonic_s()
         if attempt.began_s is None:
             attempt.began_s = now_s
-        elif now_s - attempt.began_s >= _SURVIVED_S:
+        elif now_s - attempt.began_s >= _SURVIVAL_TIME_S:
             attempt.has_survived = True
-            self._known.writes(endpoint, _named(exchange), attempt)
+            self._known.writes(endpoint, _identify(exchange), attempt)
+
+    def _probe_unclear_endpoints(self, exchange: base.Exchange) -> None:
+        """Probe endpoints that may have crashed under the request, if that affects this request.
 
-    def _look_where_it_broke(self, exchange: base.Exchange) -> None:
-        """Find out whether endpoints ended, where that decides on this request."""
+        It does if their crashes would make the request a suspect.
+        """
         unclear = self._known.unclear(exchange.fingerprint)
         if not unclear:
             return
@@ -129,15 +135,15 @@
                 )
 
     def _begin_trials(
-        self, exchange: base.Exchange, against: dict[str, suspicion.Standing]
+        self, exchange: base.Exchange, implicated: dict[str, suspicion.Standing]
     ) -> None:
-        """Get a trial for each suspect of a request, or raise and give back those that it got."""
+        """Get a trial for each suspect feature of a request; if one fails, return all and raise."""
         trial = suspicion_reports.new_trial()
         granted: list[str] = []
         try:
-            for feature, standing in against.items():
-                asker = _asker(exchange, feature, against)
-                if self._grants(exchange, feature, trial, standing, asker):
+            for feature, standing in implicated.items():
+                asker = _asker(exchange, feature, implicated)
+                if self._request_trial(exchange, feature, trial, standing, asker):
                     granted.append(feature)
         except errors.CroftpulleyError:
             for feature in granted:
@@ -150,9 +156,9 @@
         exchange.attempts_before_trial = len(exchange.attempts.attempts)
         exchange.at_end.callback(self.end_trial, exchange)
         self._counters.suspect("tried")
-        log_trial(exchange, max(against[each].crashes for each in granted))
+        _log_trial(exchange, max(implicated[each].crashes for each in granted))
 
-    def _grants(
+    def _request_trial(
         self,
         exchange: base.Exchange,
         feature: str,
@@ -160,33 +166,36 @@
         standing: suspicion.Standing,
         asker: suspect_messages.Asker,
     ) -> bool:
-        """Tell whether a trial is granted, or none is needed any more; raises where it is not."""
+        """Return ``True`` if a trial is granted, ``False`` if none is needed any more.
+
+        Raises REQUEST_CRASHES or REQUEST_ON_TRIAL if the trial is not granted.
+        """
         left_s = max(0.0, exchange.deadline_s - self._clock.monotonic_s())
         answer = self._trials.ask(feature, trial, left_s + _TRIAL_SLACK_S, asker)
         if answer is None:
-            # It may have been granted all the same.
+            # The trial may have been granted although no answer arrived.
             self._known.trial_ended(suspect_messages.TrialEnd(feature, trial, was_sent=False))
             self._known.put_off(feature)
-            raise self._put_off(feature, standing.crashes, _UNANSWERED_RETRY_S)
+            raise self._put_off_error(feature, standing.crashes, _UNANSWERED_RETRY_S)
         match answer.verdict:
             case suspect_messages.Verdict.REFUSED:
-                raise self._refused(feature, answer.crashes, answer.wait_s)
+                raise self._refused_error(feature, answer.crashes, answer.wait_s)
             case suspect_messages.Verdict.BUSY:
                 self._known.put_off(feature)
-                raise self._put_off(feature, answer.crashes, _BUSY_RETRY_S)
+                raise self._put_off_error(feature, answer.crashes, _BUSY_RETRY_S)
         return answer.verdict is suspect_messages.Verdict.GRANTED
 
-    def _refused(self, feature: str, crashes: int, wait_s: float) -> errors.CroftpulleyError:
+    def _refused_error(self, feature: str, crashes: int, wait_s: float) -> errors.CroftpulleyError:
         self._counters.suspect("refused")
-        return _error(codes.ResultCode.REQUEST_CRASHES, feature, crashes, wait_s)
+        return _suspect_error(codes.ResultCode.REQUEST_CRASHES, feature, crashes, wait_s)
 
-    def _put_off(self, feature: str, crashes: int, wait_s: float) -> errors.CroftpulleyError:
+    def _put_off_error(self, feature: str, crashes: int, wait_s: float) -> errors.CroftpulleyError:
         self._counters.suspect("put_off")
-        return _error(codes.ResultCode.REQUEST_ON_TRIAL, feature, crashes, wait_s)
+        return _suspect_error(codes.ResultCode.REQUEST_ON_TRIAL, feature, crashes, wait_s)
 
 
-def log_trial(exchange: base.Exchange, crashes: int) -> None:
-    """Log that a suspect is tried."""
+def _log_trial(exchange: base.Exchange, crashes: int) -> None:
+    """Log that a suspect request is sent as a trial."""
     events.emit(
         _LOG,
         events.Event.SUSPECT_TRIED,
@@ -200,19 +209,21 @@
 
 
 def _asker(
-    exchange: base.Exchange, feature: str, against: dict[str, suspicion.Standing]
+    exchange: base.Exchange, feature: str, implicated: dict[str, suspicion.Standing]
 ) -> suspect_messages.Asker:
-    others = (each for each in against if each != feature and fingerprints.is_part(each))
+    """Return who asks for a trial of ``feature``, with the other suspect prompt parts."""
+    others = (each for each in implicated if each != feature and fingerprints.is_part(each))
     return suspect_messages.Asker(exchange.workspace_name, tuple(others))
 
 
-def _named(exchange: base.Exchange) -> crash_candidates.RequestIdentity:
+def _identify(exchange: base.Exchange) -> crash_candidates.RequestIdentity:
     return crash_candidates.RequestIdentity(
         exchange.fingerprint, exchange.workspace_name, exchange.part_features, exchange.pool
     )
 
 
-def _ending(attempt: attempts.Attempt, *, is_cancelled: bool) -> crash_candidates.Ending:
+def _classify_end(attempt: attempts.Attempt, *, is_cancelled: bool) -> crash_candidates.Ending:
+    """Return what the end of an attempt says about a crash of the endpoint."""
     if attempt.run_state is codes.RunState.NOT_RUN:
         return crash_candidates.Ending.UNCLEAR
     if attempt.is_end_ambiguous and is_cancelled:
@@ -223,12 +234,12 @@
         return crash_candidates.Ending.CLOSED if is_whole else crash_candidates.Ending.BROKE
     if attempt.phase is not attempts.Phase.DONE:
         return crash_candidates.Ending.GIVEN_UP
-    # An endpoint that fails requests may do so before it begins to run them.
+    # An endpoint that answers with an error may have failed before it ran the request.
     is_success = attempt.status in verdicts.SUCCESS_STATUSES
     return crash_candidates.Ending.SURVIVED if is_success else crash_candidates.Ending.UNCLEAR
 
 
-def _error(
+def _suspect_error(
     code: codes.ResultCode, feature: str, crashes: int, wait_s: float
 ) -> errors.CroftpulleyError:
     kind = "the prompts' part" if fingerprints.is_part(feature) else "request"
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -1,8 +1,8 @@
-"""The step that has a stream which its caller takes up go on where it began.
+"""Resumes a stream at the pool and software version that began it.
 
-Which endpoint wrote its first event may be known here, or at other boxes. Where nobody knows, and
-endpoints of two versions may have written streams of the pool lately, the request is refused: a
-guess could have its caller hold events that do not fit together.
+The origin of the stream may be known at this box or at others. If no box knows it and endpoints of
+two versions may have written streams of the pool recently, the request is rejected: events of two
+versions may not fit together.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 _LOG = logging.getLogger(__name__)
 UNHEARD_RETRY_S = 0.3
-"""When to come back where only the leading control box's word is missing: it reads the list, and is
-heard, within that."""
+"""Retry time if only the pool versions from the leading control box are missing: it reads the list
+of endpoints and its message arrives within that."""
 
 
 class TakeUp(base.ForwardFilter):
-    """Binds a request that takes a stream up to the pool and version that began it."""
+    """Binds a request that resumes a stream to the pool and version that began the stream."""
 
     def __init__(
         self,
@@ -32,27 +32,27 @@
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        self._known = known
+        self._known_origins = known
         self._view = view
         self._counters = counters
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
-        """Pass the request on; raises ORIGIN_UNKNOWN or NO_ENGINE where it cannot go on."""
+        """Pass the request on; raises ORIGIN_UNKNOWN or NO_ENGINE if the stream cannot resume."""
         if exchange.takes_up:
             exchange.origin = self._origin(exchange)
         return proceed(exchange)
 
     def _origin(self, exchange: base.Exchange) -> origins.Origin | None:
-        """Return where the stream began, ``None`` where any endpoint of its pool fits."""
-        found = self._known.find(exchange.stream) if exchange.facts.resumes else None
+        """Return the origin of the stream, ``None`` if any endpoint of its pool may resume it."""
+        found = self._known_origins.find(exchange.stream) if exchange.facts.resumes else None
         if found is None:
-            if self._fits_anywhere(exchange):
+            if self._may_resume_anywhere(exchange):
                 self._log(exchange, "fits_anywhere", None)
                 return None
-            raise self._unknown(exchange, "no box that was asked knows where it began")
+            raise self._unknown_error(exchange, "no box that was asked knows where it began")
         if found.origin is None:
-            raise self._unknown(exchange, "two streams had its id")
+            raise self._unknown_error(exchange, "two streams had its id")
         shares = exchange.known_route.shares
         if found.origin.pool not in {each.pool for each in shares if each.weight}:
             self._log(exchange, "moved", found)
@@ -63,15 +63,15 @@
         self._log(exchange, "known", found)
         return found.origin
 
-    def _fits_anywhere(self, exchange: base.Exchange) -> bool:
-        """Tell whether all endpoints of the stream's pool had one version for long enough."""
+    def _may_resume_anywhere(self, exchange: base.Exchange) -> bool:
+        """Return whether all endpoints of the pool have had one version for long enough."""
         if not exchange.facts.resumes and exchange.known_route.is_split:
             return False
         if exchange.known_route.time_limit_ms / 1000 > router_state.LONGEST_SETTLED_S:
             return False
         return self._view.get().is_settled(exchange.pool, self._clock.monotonic_s())
 
-    def _unknown(self, exchange: base.Exchange, why: str) -> errors.CroftpulleyError:
+    def _unknown_error(self, exchange: base.Exchange, why: str) -> errors.CroftpulleyError:
         self._log(exchange, "unknown", None)
         is_heard = self._view.get().mixed is not None
         return errors.CroftpulleyError(
--- a/testing/forwarding/test_ownership.py
+++ b/testing/forwarding/test_ownership.py
@@ -1,4 +1,4 @@
-"""Whose each header is, in the fleet's own words and in the platform's."""
+"""Which headers are forwarded to endpoints, with the fleet's own names and the platform's."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from croftpulley.platform import names
 from croftpulley.settings import fleet
 
-ENDPOINT = membership.Endpoint("e", membership.EndpointKind.ENGINE, "p", "a:1", "h", "this-life")
+ENDPOINT = membership.Endpoint(
+    "e", membership.EndpointKind.ENGINE, "p", "a:1", "h", "this-incarnation"
+)
 ROUTE = fleet.Route(
     name="chat",
     host="h",
@@ -21,10 +23,10 @@
     sticky=True,
 )
 VOCABULARIES = [vocabulary.OWN, names.VOCABULARY]
-CLAIMED = "what-the-caller-sent"
+CALLER_VALUE = "what-the-caller-sent"
 
 
-def passed_on(given, spoken):
+def forwarded_headers(given, header_names):
     request = base.ForwardRequest(
         method="POST", target="/x", headers=given, body=b"", arrived_s=0.0
     )
@@ -35,18 +37,18 @@
         route=ROUTE,
     )
     outgoing = headers.Outgoing(endpoint=ENDPOINT, budget_s=1.0, last_event_id="")
-    return headers.to_endpoint(exchange, outgoing, spoken)
+    return headers.to_endpoint(exchange, outgoing, header_names)
 
 
-@pytest.mark.parametrize("spoken", VOCABULARIES, ids=["own", "platform"])
-def test_nothing_of_the_fleet_or_of_one_connection_comes_from_the_caller(spoken):
-    given = dict.fromkeys(ownership.owners(spoken), CLAIMED)
-    assert CLAIMED not in passed_on(given, spoken).values()
+@pytest.mark.parametrize("header_names", VOCABULARIES, ids=["own", "platform"])
+def test_fleet_and_hop_by_hop_headers_from_caller_are_not_forwarded(header_names):
+    given = dict.fromkeys(ownership.owners(header_names), CALLER_VALUE)
+    assert CALLER_VALUE not in forwarded_headers(given, header_names).values()
 
 
-@pytest.mark.parametrize("spoken", VOCABULARIES, ids=["own", "platform"])
-def test_the_callers_own_headers_are_passed_on(spoken):
-    given = {spoken.request_id: "r", spoken.prompt_parts: "a:1", "x-anything": "y"}
-    sent = passed_on(given, spoken)
+@pytest.mark.parametrize("header_names", VOCABULARIES, ids=["own", "platform"])
+def test_callers_own_headers_are_forwarded(header_names):
+    given = {header_names.request_id: "r", header_names.prompt_parts: "a:1", "x-anything": "y"}
+    sent = forwarded_headers(given, header_names)
     assert given.items() <= sent.items()
-    assert sent[spoken.expected_incarnation] == "this-life"
+    assert sent[header_names.expected_incarnation] == "this-incarnation"
