--- a/src/croftpulley/forwarding/ownership.py
+++ b/src/croftpulley/forwarding/ownership.py
@@ -46,7 +46,8 @@
 def owners(names: vocabulary.Vocabulary) -> dict[str, Owner]:
     """Return the owner of each header that callers don't own, by its name in lower case.
 
-    >>> owners(vocabulary.OWN)["x-pin-ms"], owners(vocabulary.OWN).get("x-prompt-parts")
+    >>> names = vocabulary.OWN
+    >>> owners(names)["x-pin-ms"], owners(names).get("x-prompt-parts")
     (<Owner.FLEET: 'fleet'>, None)
     """
     fleet_headers = (
@@ -71,7 +72,8 @@
 def owner(name: str, names: vocabulary.Vocabulary) -> Owner:
     """Return the owner of a header; ``name`` is not case-sensitive.
 
-    >>> owner("X-Pin-Ms", vocabulary.OWN).name, owner("Accept-Language", vocabulary.OWN).name
+    >>> names = vocabulary.OWN
+    >>> owner("X-Pin-Ms", names).name, owner("Accept-Language", names).name
     ('FLEET', 'CALLER')
     """
     return owners(names).get(name.lower(), Owner.CALLER)
