--- a/src/croftpulley/forwarding/rules.py
+++ b/src/croftpulley/forwarding/rules.py
@@ -102,7 +102,8 @@
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
         """Pass the request on; it is watched until the exchange ends.
 
-        Until then it also counts towards the limit of its workspace.
+        Until then it also counts towards the limits of its workspace and box. Raises
+        WORKSPACE_LIMIT or TOO_MANY_STREAMS if one is reached.
         """
         limit_s = exchange.known_route.time_limit_ms / 1000
         budget_s = exchange.facts.budget_s
--- a/src/croftpulley/forwarding/vocabulary.py
+++ b/src/croftpulley/forwarding/vocabulary.py
@@ -39,7 +39,7 @@
     backup_to: str = "x-backup-to"
     """The address of an engine to which the request's memory is copied as it grows."""
     resume_copy: str = "x-resume-copy"
-    """The engine and copy of a request's memory from which to go on."""
+    """The engine and copy of a request's memory from which to resume."""
     # Set by the endpoint.
     proof: str = "x-proof"
     """Proves that the endpoint made the response; a success without it does not count as one."""
