--- a/src/croftpulley/controllers/configured_pools.py
+++ b/src/croftpulley/controllers/configured_pools.py
@@ -1,4 +1,4 @@
-"""The pools of the newest configuration, read once for each version of it."""
+"""The pools of the newest configuration, parsed once for each version of it."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 @attrs.frozen
-class _Read:
+class _CachedPools:
     version: int = 0
     pools: tuple[fleet.Pool, ...] = ()
 
 
 class ConfiguredPools:
-    """Any thread may ask."""
+    """Gives access to the pools of the newest configuration in the command log; thread-safe."""
 
     def __init__(self, log: agreement.CommandLog, document_format: formats.DocumentFormat) -> None:
         self._command_log = log
         self._format = document_format
-        self._read = _Read()
+        self._cached = _CachedPools()
 
     def pools(self) -> tuple[fleet.Pool, ...]:
-        """Return the pools; none before the first configuration."""
+        """Return the pools; empty before the first configuration."""
         held = self._command_log.read().submissions.held
-        read = self._read
-        if read.version != held.version:
-            read = _Read(held.version, self._format.parse(held.document_json).pools)
-            self._read = read
-        return read.pools
+        cached = self._cached
+        if cached.version != held.version:
+            cached = _CachedPools(held.version, self._format.parse(held.document_json).pools)
+            self._cached = cached
+        return cached.pools
 
     def names(self) -> frozenset[str]:
         """Return the names of the pools."""
         return frozenset(pool.name for pool in self.pools())
 
     def cold_per_s(self) -> dict[str, float]:
-        """Return how many requests a second a cold endpoint takes, of pools where that is told."""
+        """Return the requests per second that a cold endpoint takes, for pools that set it."""
         return {pool.name: pool.cold_per_s for pool in self.pools() if pool.cold_per_s}
--- a/src/croftpulley/controllers/endpoints.py
+++ b/src/croftpulley/controllers/endpoints.py
@@ -30,13 +30,13 @@
         self._platform = platform
         self._view = view
         self._clock = clock
-        self._listed = incarnation_tracker.IncarnationTracker()
-        self._spoiled = listing.SpoiledEntries(counters)
+        self._tracker = incarnation_tracker.IncarnationTracker()
+        self._invalid_entries = listing.SpoiledEntries(counters)
         self._read_fails = False
         self._due_at_s = float("-inf")
 
     def handle(self, message: object) -> None:
-        """Read the list once, unless it asked to be read later."""
+        """Read and publish the list, unless the platform asked for a later reading."""
         now_s = self._clock.monotonic_s()
         if now_s < self._due_at_s:
             return
@@ -46,32 +46,32 @@
             if isinstance(failure, lists.NotNowError):
                 self._due_at_s = now_s + min(failure.wait_s, listing.LONGEST_WAIT_S)
             if not self._read_fails:
-                _warn(events.Event.PLATFORM_LIST_FAILED, failure)
+                _log_failure(events.Event.PLATFORM_LIST_FAILED, failure)
             self._read_fails = True
             return
         self._read_fails = False
-        self._spoiled.found(reading)
-        self._view.publish(self._listed.update(reading.endpoints, self._clock.monotonic_s()))
+        self._invalid_entries.found(reading)
+        self._view.publish(self._tracker.update(reading.endpoints, self._clock.monotonic_s()))
 
 
 @attrs.frozen
-class _Gained:
-    """Asks for the reports that hold up what comes to engines just gained."""
+class _EnginesGained:
+    """Asks for the load reports of engines just gained; until they come, nothing is admitted."""
 
 
 class LoadReportController(actors.Controller):
-    """Reads the load reports of the engines that this box owns: at each tick, and once gained."""
+    """Reads the load reports of owned engines at each tick, and of new ones as soon as gained."""
 
     def __init__(self, client: base.EngineClient, engine_gate: gate.EngineGate) -> None:
         super().__init__()
         self._client = client
         self._gate = engine_gate
         self._failing: set[str] = set()
-        engine_gate.on_gained = lambda: self.tell_self(_Gained())
+        engine_gate.on_gained = lambda: self.tell_self(_EnginesGained())
 
     def handle(self, message: object) -> None:
-        """Read every report once, or those that are waited for."""
-        is_gained = isinstance(message, _Gained)
+        """Read every report once, or after a gain only the missing ones."""
+        is_gained = isinstance(message, _EnginesGained)
         for engine in self._gate.unheard() if is_gained else self._gate.engines():
             self._read(engine)
 
@@ -81,12 +81,12 @@
             report = self._client.load(engine.address)
         except errors.CroftpulleyError as failure:
             if engine.name not in self._failing:
-                _warn(events.Event.LOAD_REPORT_FAILED, failure)
+                _log_failure(events.Event.LOAD_REPORT_FAILED, failure)
             self._failing.add(engine.name)
             return
         self._failing.discard(engine.name)
         self._gate.report(engine.name, report.running, report.slots)
 
 
-def _warn(event: events.Event, failure: errors.CroftpulleyError) -> None:
+def _log_failure(event: events.Event, failure: errors.CroftpulleyError) -> None:
     events.emit(_LOG, event, level=logging.WARNING, problem=str(failure))
--- a/src/croftpulley/controllers/fleet_state.py
+++ b/src/croftpulley/controllers/fleet_state.py
@@ -1,6 +1,6 @@
 """The fleet-state controller of an entry box: lease, configuration, directory and loads.
 
-It renews with the control boxes at a fixed interval and publishes what it learns.
+It renews the lease with the control boxes at a fixed interval and publishes the answers.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 @attrs.frozen
 class StartDraining:
-    """Asks to be named no more and to give up all engines."""
+    """Asks the controller to report this box as draining and to release all its engines."""
 
 
 class FleetStateController(actors.Controller):
-    """Keeps the lease and publishes `state.FleetState`."""
+    """Renews the lease at each tick and publishes `state.FleetState`."""
 
     def __init__(
         self,
@@ -62,22 +62,22 @@
                 self._renew()
 
     def _renew(self) -> None:
-        renewal = self._renewal()
+        renewal = self._make_renewal()
         sent_at_s = self._clock.monotonic_s()
         try:
             answer = self._control.renew(renewal)
         except errors.CroftpulleyError as failure:
-            self._failed(failure)
+            self._note_failed_renewal(failure)
             return
         self._renewal_fails = False
         self._acknowledged_engines = answer.engines_version
-        held = self._lease.is_valid(self._clock.monotonic_s())
+        had_lease = self._lease.is_valid(self._clock.monotonic_s())
         self._lease.record_renewal(sent_at_s, answer.lease_s)
-        if not held:
+        if not had_lease:
             events.emit(_LOG, events.Event.LEASE_GAINED, lease_s=answer.lease_s)
-        self._take(answer, renewal)
+        self._apply_answer(answer, renewal)
 
-    def _renewal(self) -> messages.Renewal:
+    def _make_renewal(self) -> messages.Renewal:
         known = self._view.get()
         engines = engines_of(self._endpoints.get())
         version = engines_version(engines)
@@ -92,11 +92,11 @@
             released=self._gate.give_up(give_up),
         )
 
-    def _take(self, answer: messages.RenewalAnswer, renewal: messages.Renewal) -> None:
+    def _apply_answer(self, answer: messages.RenewalAnswer, renewal: messages.Renewal) -> None:
         known = self._view.get()
         configuration = known.configuration
         if answer.configuration_json and answer.configuration_version > configuration.version:
-            configuration = _configuration(answer)
+            configuration = _parse_configuration(answer)
             events.emit(
                 _LOG, events.Event.CONFIGURATION_IN_USE, configuration_version=configuration.version
             )
@@ -107,12 +107,12 @@
             directory=answer.directory or known.directory,
             loads=answer.loads,
         )
-        # The gate first: who sees the new directory may count on it.
+        # The gate first: whoever sees the new directory may rely on the gate knowing it.
         self._gate.follow(changed, renewal.loads)
         self._view.publish(changed)
 
-    def _failed(self, failure: errors.CroftpulleyError) -> None:
-        """Log the first failed renewal of a row, and the loss of the lease once."""
+    def _note_failed_renewal(self, failure: errors.CroftpulleyError) -> None:
+        """Log the first of consecutive failed renewals, and the loss of the lease once."""
         if not self._renewal_fails:
             events.emit(
                 _LOG, events.Event.RENEW_FAILED, level=logging.WARNING, problem=str(failure)
@@ -126,17 +126,17 @@
 def engines_of(
     endpoints: tuple[membership.Endpoint, ...],
 ) -> tuple[membership.Endpoint, ...]:
-    """Return the engines among ``endpoints``, in order of name."""
+    """Return the engines among ``endpoints``, sorted by name."""
     engines = [each for each in endpoints if each.kind is membership.EndpointKind.ENGINE]
     return tuple(sorted(engines, key=lambda engine: engine.name))
 
 
 def engines_version(engines: tuple[membership.Endpoint, ...]) -> int:
-    """Return a number that stands for the list's content; never 0."""
+    """Return a checksum of the list's content as its version; never 0."""
     return zlib.crc32(orjson.dumps([attrs.astuple(engine) for engine in engines], default=str)) + 1
 
 
-def _configuration(answer: messages.RenewalAnswer) -> fleet.FleetConfiguration:
+def _parse_configuration(answer: messages.RenewalAnswer) -> fleet.FleetConfiguration:
     document = orjson.loads(answer.configuration_json or "{}")
     configuration = loader.structure(document, fleet.FleetConfiguration, "(agreed)")
     return attrs.evolve(configuration, version=answer.configuration_version)
--- a/src/croftpulley/controllers/heard_loads.py
+++ b/src/croftpulley/controllers/heard_loads.py
@@ -1,4 +1,4 @@
-"""What the last renewal told of endpoints' loads, made ready for all requests until the next."""
+"""Loads that other boxes put on endpoints, computed once per renewal for all requests."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 @attrs.frozen
 class HeardOfPool:
-    """The endpoints in service as the last renewal told of them, without what is this box's own.
+    """A pool's endpoints as candidates with the loads of other boxes, as of the last renewal.
 
-    ``reads`` are those that then had prompts of others to read.
+    ``members`` are the endpoints by key; ``prefilling`` are the keys of those that had prompt
+    tokens of other boxes to prefill.
     """
 
     members: Mapping[str, membership.Endpoint]
@@ -27,15 +28,15 @@
     def of(
         cls, members: Mapping[str, membership.Endpoint], state: router_state.RouterState
     ) -> HeardOfPool:
-        """Take the others' part of what all boxes have at each endpoint."""
-        loads = _others(state.loads, state.own_loads)
-        reading = _others(state.reading_tokens, state.own_reading_tokens)
+        """Return the loads of all boxes at these endpoints less those of this box."""
+        loads = _subtract_own(state.loads, state.own_loads)
+        reading = _subtract_own(state.reading_tokens, state.own_reading_tokens)
         candidates = tuple(
             selection.Candidate(
                 name=key,
                 hall=each.hall,
                 load=loads.get(key, 0),
-                # An endpoint that is held off is avoided until that is lifted.
+                # An endpoint that is held off is avoided until the hold is lifted.
                 avoid_until_s=_FOREVER_S if key in state.held_off else -_FOREVER_S,
                 reading_tokens=reading.get(key, 0),
             )
@@ -45,11 +46,11 @@
 
 
 @attrs.frozen
-class _Heard:
-    """What one renewal told, by the identity of the endpoints that it is about.
+class _StateCache:
+    """The loads computed from one state, by the ``id`` of the mapping of endpoints.
 
-    Each entry holds them, so that no other takes their identity. Threads may add the same entry
-    twice.
+    Each entry holds a reference to its mapping, so that the ``id`` is not reused. Two threads may
+    compute the same entry; both results are equal.
     """
 
     state: router_state.RouterState
@@ -57,25 +58,25 @@
 
 
 class HeardLoads:
-    """What was told of each pool, kept until a renewal tells anew."""
+    """Caches `RemotePoolLoads` for each pool until the state changes with the next renewal."""
 
     def __init__(self) -> None:
-        self._heard = _Heard(router_state.RouterState())
+        self._cache = _StateCache(router_state.RouterState())
 
     def of(
         self, members: Mapping[str, membership.Endpoint], state: router_state.RouterState
     ) -> HeardOfPool:
-        """Return what a renewal told of these endpoints, made once for each pool."""
-        known = self._heard
-        if known.state is not state:
-            known = self._heard = _Heard(state)
-        found = known.by_members.get(id(members))
-        if found is None:
-            found = known.by_members[id(members)] = HeardOfPool.of(members, state)
-        return found
-
-
-def _others(of_all: Mapping[str, int], own: Mapping[str, int]) -> dict[str, int]:
-    """Return what other boxes have, where that is anything."""
-    rest = {key: count - own.get(key, 0) for key, count in of_all.items()}
+        """Return the loads of other boxes at these endpoints, computed once for each mapping."""
+        cache = self._cache
+        if cache.state is not state:
+            cache = self._cache = _StateCache(state)
+        loads = cache.by_members.get(id(members))
+        if loads is None:
+            loads = cache.by_members[id(members)] = HeardOfPool.of(members, state)
+        return loads
+
+
+def _subtract_own(fleet_counts: Mapping[str, int], own_counts: Mapping[str, int]) -> dict[str, int]:
+    """Return the counts of other boxes; endpoints without any are left out."""
+    rest = {key: count - own_counts.get(key, 0) for key, count in fleet_counts.items()}
     return {key: count for key, count in rest.items() if count > 0}
--- a/src/croftpulley/controllers/inventory.py
+++ b/src/croftpulley/controllers/inventory.py
@@ -1,8 +1,8 @@
-"""The inventory controller of a control box: what engines keep, when nobody else can know it.
+"""The inventory controller of a control box: asks engines which prompt parts they have cached.
 
-While routers run they tell each other which prompts they sent where. After a loss of all processes
-that is forgotten, though the engines still hold it. So a box that comes to lead soon after its own
-start asks every engine once, and has the answers passed on to all routers.
+While routers run, they share notes of which prompts they sent to which engine. When all processes
+restart, the notes are lost, though the engines still have the parts cached. So a box that becomes
+leader soon after its own start asks every engine once and passes the answers on to all routers.
 """
 
 from __future__ import annotations
@@ -23,17 +23,18 @@
 from croftpulley.observe import events
 
 _LOG = logging.getLogger(__name__)
-YOUNG_S = 10.0
-"""How long after its start a box takes the fleet to have started with it. One that leads later
-was a follower while others led, so routers know what they sent; asking costs engines time."""
-MOST_AT_ONCE = 16
+STARTUP_WINDOW_S = 10.0
+"""How long after its start a box assumes that the whole fleet has started with it. One that
+becomes leader later was a follower before, so routers still have their notes, and asking costs
+engines time."""
+MAX_CONCURRENT_QUERIES = 16
 """Engines that are asked at the same time. Asked one after the other, 13 engines took 0.51 s, 0.4 s
-of them for one that was down; routers served from 0.1 s on, and of their first 164 requests 91 were
-read anew, 245,000 tokens (logs of a loss of all power on ten boxes)."""
+of which for one that was down; routers served from 0.1 s on, and 91 of their first 164 requests
+were prefilled again, 245,000 tokens (logs of a total power loss on ten boxes)."""
 
 
 class InventoryController(actors.Controller):
-    """Asks each engine once, at the first list that a young leader reads."""
+    """Asks each engine once, when a box that leads within `STARTUP_WINDOW_S` has a list."""
 
     def __init__(
         self,
@@ -51,13 +52,13 @@
         self._configured_pools = configured_pools
         self._sessions = session_controller
         self._clock = clock
-        self._young_until_s = clock.monotonic_s() + YOUNG_S
+        self._startup_window_end_s = clock.monotonic_s() + STARTUP_WINDOW_S
         self._done = False
 
     def handle(self, message: object) -> None:
-        """Ask all engines, if it is time; later ticks do nothing."""
+        """Ask all engines once this box leads and has a list and pools; later ticks do nothing."""
         now_s = self._clock.monotonic_s()
-        self._done = self._done or now_s > self._young_until_s
+        self._done = self._done or now_s > self._startup_window_end_s
         listed = self._listed.get()
         if (
             self._done
@@ -69,22 +70,22 @@
         if not pools:
             return
         self._done = True
-        engines = _engines(listed.endpoints.value, pools)
-        for first in range(min(MOST_AT_ONCE, len(engines))):
-            asked = engines[first::MOST_AT_ONCE]
+        engines = _configured_engines(listed.endpoints.value, pools)
+        for first in range(min(MAX_CONCURRENT_QUERIES, len(engines))):
+            batch = engines[first::MAX_CONCURRENT_QUERIES]
             threading.Thread(
-                target=self._ask_each, args=(asked,), name="inventory", daemon=True
+                target=self._query_engines, args=(batch,), name="inventory", daemon=True
             ).start()
 
-    def _ask_each(self, engines: list[membership.Endpoint]) -> None:
-        # A box that stops meanwhile has nobody left to tell.
+    def _query_engines(self, engines: list[membership.Endpoint]) -> None:
+        # The session controller may stop meanwhile; then nobody needs the answers.
         with contextlib.suppress(pykka.ActorDeadError):
             for engine in engines:
-                self._ask(engine)
+                self._query_engine(engine)
 
-    def _ask(self, engine: membership.Endpoint) -> None:
+    def _query_engine(self, engine: membership.Endpoint) -> None:
         try:
-            kept = self._reader.read(engine)
+            cached_parts = self._reader.read(engine)
         except errors.CroftpulleyError as failure:
             events.emit(
                 _LOG,
@@ -94,19 +95,25 @@
                 problem=str(failure),
             )
             return
-        # The longest first: routers get them in this order, some at a time.
-        longest = sorted(kept, key=lambda each: each.tokens, reverse=True)
+        # Longest parts first: routers receive notes in this order, in batches.
+        longest_first = sorted(cached_parts, key=lambda each: each.tokens, reverse=True)
         parts = tuple(
-            each.part for each in longest if each.tokens >= prompt_part_index.MIN_PART_TOKENS
+            each.part for each in longest_first if each.tokens >= prompt_part_index.MIN_PART_TOKENS
         )
         events.emit(
-            _LOG, events.Event.CACHE_READ, engine=engine.key, parts=len(kept), told=len(parts)
+            _LOG,
+            events.Event.CACHE_READ,
+            engine=engine.key,
+            parts=len(cached_parts),
+            told=len(parts),
         )
         if parts:
             self._sessions.tell(sessions.PostNotes({engine.key: parts}))
 
 
-def _engines(endpoints: listing.Endpoints, pools: frozenset[str]) -> list[membership.Endpoint]:
-    """Return the engines of pools that are configured: others may be no engines of ours."""
+def _configured_engines(
+    endpoints: listing.Endpoints, pools: frozenset[str]
+) -> list[membership.Endpoint]:
+    """Return the engines of configured pools; others may belong to another deployment."""
     kind = membership.EndpointKind.ENGINE
     return [each for each in endpoints if each.kind is kind and each.pool in pools]
--- a/src/croftpulley/controllers/listing.py
+++ b/src/croftpulley/controllers/listing.py
@@ -1,7 +1,7 @@
-"""The listing controller: one box at a time reads the platform's list, for all routers.
+"""The listing controller: one box at a time reads the platform's list of endpoints for all routers.
 
-On a control box it reads while that box leads. On a router it reads only while it has not heard
-a list from the control boxes for a while. Each daemon says by a `Turn` when it reads.
+On a control box it reads while that box leads; on a router, only while no list has come from the
+control boxes for some time. Each daemon decides by its `Turn`.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 _LOG = logging.getLogger(__name__)
 Endpoints = tuple[membership.Endpoint, ...]
 LONGEST_WAIT_S = 5.0
-"""A list that asks for a longer pause is read again all the same: what it says is 5 s old by then,
-as long as endpoints that leave serve."""
+"""Upper limit on the wait that a list may ask for. The last list is 5 s old by then, which is as
+long as endpoints that shut down go on serving."""
 
 
 @attrs.frozen
 class Listing:
     """The endpoints as last read, and when; ``read_at_s`` is ``-inf`` before the first reading.
 
-    ``cold_until_s`` holds, by their keys, until when endpoints are cold that were so then.
+    ``cold_until_s`` holds, by endpoint key, when endpoints that were cold then cease to be so.
     """
 
     endpoints: versions.Versioned[Endpoints] = attrs.field(
@@ -39,7 +39,7 @@
     cold_until_s: dict[str, float] = attrs.field(factory=dict)
 
     def cold(self, now_s: float) -> list[membership.Endpoint]:
-        """Return the endpoints that are cold now."""
+        """Return the endpoints that are cold at ``now_s``."""
         if not self.cold_until_s:
             return []
         return [
@@ -49,34 +49,34 @@
 
 @attrs.frozen
 class SaidLeaving:
-    """Says which lives, by their keys, have said themselves that they leave."""
+    """The keys of endpoint incarnations that have announced that they shut down."""
 
     keys: tuple[str, ...]
 
 
 class Turn(abc.ABC):
-    """Whether it is this box's turn to read the list."""
+    """Decides whether this box is the one to read the list."""
 
     @abc.abstractmethod
     def has_come(self, now_s: float) -> bool:
-        """Tell whether to read now."""
+        """Tell whether this box has to read the list now."""
 
 
 class SpoiledEntries:
-    """Counts and logs entries that name no endpoint: a line a defect and change, not a reading."""
+    """Counts invalid list entries at each reading; logs a kind of defect when its count changes."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._counters = counters
-        self._known: dict[str, int] = {}
+        self._last_counts: dict[str, int] = {}
 
     def found(self, reading: lists.Reading) -> None:
-        """Take what one reading found."""
-        now = reading.defects()
+        """Count the invalid entries of one reading and log the counts that changed."""
+        counts = reading.defects()
         problems = {each.defect.value: each.problem for each in reading.spoiled}
-        for defect in sorted(self._known.keys() | now.keys()):
-            count = now.get(defect, 0)
+        for defect in sorted(self._last_counts.keys() | counts.keys()):
+            count = counts.get(defect, 0)
             self._counters.entries_spoiled(defect, count)
-            if count != self._known.get(defect, 0):
+            if count != self._last_counts.get(defect, 0):
                 events.emit(
                     _LOG,
                     events.Event.PLATFORM_ENTRIES_SPOILED,
@@ -85,13 +85,14 @@
                     entries=count,
                     problem=problems.get(defect, ""),
                 )
-        self._known = now
+        self._last_counts = counts
 
 
 class ListingController(actors.Controller):
-    """Reads the list while it is this box's turn, and publishes it.
+    """Reads the list while it is this box's turn, and publishes it as a `Listing`.
 
-    Ticks come more often than ``interval_s``, so that a box whose turn begins reads at once.
+    Ticks come more often than ``interval_s``, so that a box whose turn begins reads at once. While
+    the list cannot be read, the last one stays published.
     """
 
     def __init__(
@@ -109,15 +110,15 @@
         self._view = view
         self._interval_s = interval_s
         self._clock = clock
-        self._spoiled = SpoiledEntries(counters)
-        self._listed = incarnation_tracker.IncarnationTracker()
+        self._invalid_entries = SpoiledEntries(counters)
+        self._tracker = incarnation_tracker.IncarnationTracker()
         self._due_at_s = float("-inf")
         self._read_fails = False
 
     def handle(self, message: object) -> None:
-        """Read the list once, if it is due and this box's turn; or take who leaves."""
+        """Read the list if it is due and this box's turn, or mark endpoints as shutting down."""
         if isinstance(message, SaidLeaving):
-            self._leave(message.keys)
+            self._mark_leaving(message.keys)
             return
         now_s = self._clock.monotonic_s()
         if now_s < self._due_at_s or not self._turn.has_come(now_s):
@@ -128,31 +129,31 @@
         except errors.CroftpulleyError as failure:
             if isinstance(failure, lists.NotNowError):
                 self._due_at_s = now_s + max(self._interval_s, min(failure.wait_s, LONGEST_WAIT_S))
-            self._failed(failure)
+            self._note_failed_reading(failure)
             return
         if self._read_fails:
             events.emit(_LOG, events.Event.PLATFORM_LIST_READ, endpoints=len(reading.endpoints))
         self._read_fails = False
-        self._spoiled.found(reading)
+        self._invalid_entries.found(reading)
         read_at_s = self._clock.monotonic_s()
         known = {each.key: each for each in self._view.get().endpoints.value}
-        kept = self._listed.update(reading.endpoints, read_at_s)
-        self._announce(known, kept)
+        current = self._tracker.update(reading.endpoints, read_at_s)
+        self._log_changes(known, current)
         cold_until_s = {key: read_at_s + left_s for key, left_s in reading.cold_left_s.items()}
-        self._view.publish(Listing(versions.Versioned(kept), read_at_s, cold_until_s))
+        self._view.publish(Listing(versions.Versioned(current), read_at_s, cold_until_s))
 
-    def _leave(self, keys: tuple[str, ...]) -> None:
-        """Publish the list with what endpoints said before it does."""
-        news = {each.key: each for each in self._listed.mark_leaving(keys)}
-        if not news:
+    def _mark_leaving(self, keys: tuple[str, ...]) -> None:
+        """Mark endpoints as leaving that announced it before the platform's list says so."""
+        updated = {each.key: each for each in self._tracker.mark_leaving(keys)}
+        if not updated:
             return
         known = self._view.get()
         before = {each.key: each for each in known.endpoints.value}
-        kept = tuple(news.get(each.key, each) for each in known.endpoints.value)
-        self._announce(before, kept)
-        self._view.publish(attrs.evolve(known, endpoints=versions.Versioned(kept)))
+        current = tuple(updated.get(each.key, each) for each in known.endpoints.value)
+        self._log_changes(before, current)
+        self._view.publish(attrs.evolve(known, endpoints=versions.Versioned(current)))
 
-    def _failed(self, failure: errors.CroftpulleyError) -> None:
+    def _note_failed_reading(self, failure: errors.CroftpulleyError) -> None:
         if not self._read_fails:
             events.emit(
                 _LOG,
@@ -164,9 +165,9 @@
         self._read_fails = True
 
     @staticmethod
-    def _announce(known: dict[str, membership.Endpoint], kept: Endpoints) -> None:
-        """Log every endpoint that came, leaves or is gone, by its key."""
-        now = {each.key: each for each in kept}
+    def _log_changes(known: dict[str, membership.Endpoint], current: Endpoints) -> None:
+        """Log every endpoint that was added, changed or removed, by its key."""
+        now = {each.key: each for each in current}
         for key in known.keys() | now.keys():
             before, after = known.get(key), now.get(key)
             if before == after:
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -1,4 +1,4 @@
-"""Permits of this router: how many of its requests are at a pool's endpoints, and who waits.
+"""Permits of this router: they limit its requests at a pool's endpoints, and the others queue.
 
 Shared by all request threads and guarded by a lock, as `traffic.Traffic` is.
 """
@@ -16,12 +16,12 @@
 from croftpulley.core import membership, permits, retry_times, waiting_line
 
 _POLL_S = 0.1
-"""How often one that waits looks whether a renewal has brought more room."""
+"""How often a waiting request checks whether a renewal has raised the number of permits."""
 
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """What decides when a request gets a permit."""
+    """The properties of a request that decide when it gets a permit."""
 
     pool: str
     workspace: str
@@ -32,7 +32,7 @@
 
 
 class NoPermitError(errors.CroftpulleyError):
-    """The request cannot be expected to begin in time."""
+    """The request is not expected to start in time, or has waited as long as it may."""
 
     def __init__(self, pool: str, figures: waiting_line.Figures, waited_s: float) -> None:
         super().__init__(
@@ -46,16 +46,16 @@
 
 @attrs.define(eq=False)
 class Permit:
-    """The right to have one request at a pool's endpoints; given back once."""
+    """The right to have one request at a pool's endpoints; released exactly once."""
 
     pool: str
     since_s: float
     waited_s: float = 0.0
     figures: waiting_line.Figures | None = None
-    """What decided when it began to wait, if it did."""
+    """The figures of the decision to queue the request; ``None`` if it did not wait."""
 
 
-def _waiter(request: Request, now_s: float) -> waiting_line.Waiter:
+def _make_waiter(request: Request, now_s: float) -> waiting_line.Waiter:
     patience_s = waiting_line.patience_s(request.objective_s, request.deadline_s - now_s)
     return waiting_line.Waiter(
         workspace=request.workspace,
@@ -67,19 +67,19 @@
 
 @attrs.define(eq=False)
 class _Pool:
-    """The requests of one pool; ``woken`` are the events that the threads of waiters wait for."""
+    """The requests of one pool; ``wake_events`` are what threads of queued requests wait for."""
 
-    line: waiting_line.PermitQueue = attrs.field(factory=waiting_line.PermitQueue)
-    woken: dict[waiting_line.Waiter, threading.Event] = attrs.field(factory=dict)
+    queue: waiting_line.PermitQueue = attrs.field(factory=waiting_line.PermitQueue)
+    wake_events: dict[waiting_line.Waiter, threading.Event] = attrs.field(factory=dict)
     granted: set[waiting_line.Waiter] = attrs.field(factory=set)
     objective_s: float = float("inf")
-    """The shortest of those that its requests had."""
-    heard_from: router_state.RouterState | None = None
-    heard: permits.PoolSnapshot | None = None
+    """The shortest objective of all requests so far."""
+    snapshot_state: router_state.RouterState | None = None
+    snapshot: permits.PoolSnapshot | None = None
 
 
 class Permits:
-    """Hands out this box's permits, by rank, by workspace and by the time that callers have."""
+    """Grants this box's permits by urgency, by workspace and by deadline."""
 
     def __init__(
         self,
@@ -96,60 +96,60 @@
         self._pools: dict[str, _Pool] = {}
 
     def take(self, request: Request) -> Permit:
-        """Return a permit, perhaps after a wait; to be given back with `give_back`.
+        """Return a permit, waiting for it if necessary; the caller must `release` it.
 
-        Raises `NoPermitError` where the wait would be too long, and the token's reason where the
-        request is cancelled meanwhile.
+        Raises `NoPermitError` if the wait would be or has become too long, and the token's error if
+        the request is cancelled meanwhile.
         """
-        began_s = self._clock.monotonic_s()
-        waiter = _waiter(request, began_s)
+        started_s = self._clock.monotonic_s()
+        waiter = _make_waiter(request, started_s)
         with self._lock:
             pool = self._pools.setdefault(request.pool, _Pool())
             pool.objective_s = min(pool.objective_s, request.objective_s)
-            asked = pool.line.request_permit(
-                waiter, self._most(request.pool, pool, began_s), began_s
+            decision = pool.queue.request_permit(
+                waiter, self._permit_limit(request.pool, pool, started_s), started_s
             )
-            if asked.outcome is waiting_line.Outcome.GRANTED:
-                return Permit(request.pool, began_s)
-            if asked.outcome is waiting_line.Outcome.REFUSED:
-                raise NoPermitError(request.pool, asked.figures, 0.0)
-            woken = pool.woken[waiter] = threading.Event()
-            for each in asked.evicted:
-                pool.woken[each].set()
-        self._wait(request, pool, waiter, woken)
+            if decision.outcome is waiting_line.Outcome.GRANTED:
+                return Permit(request.pool, started_s)
+            if decision.outcome is waiting_line.Outcome.REFUSED:
+                raise NoPermitError(request.pool, decision.figures, 0.0)
+            wake_event = pool.wake_events[waiter] = threading.Event()
+            for each in decision.evicted:
+                pool.wake_events[each].set()
+        self._wait(request, pool, waiter, wake_event)
         with self._lock:
             now_s = self._clock.monotonic_s()
-            pool.line.remove(waiter)
-            del pool.woken[waiter]
+            pool.queue.remove(waiter)
+            del pool.wake_events[waiter]
             if waiter in pool.granted:
                 pool.granted.remove(waiter)
-                permit = Permit(request.pool, now_s, now_s - began_s, asked.figures)
+                permit = Permit(request.pool, now_s, now_s - started_s, decision.figures)
                 if request.token.reason is None:
                     return permit
-                self._give_back(permit, pool, now_s)
+                self._release(permit, pool, now_s)
         request.token.check()
-        raise NoPermitError(request.pool, asked.figures, now_s - began_s)
+        raise NoPermitError(request.pool, decision.figures, now_s - started_s)
 
     def give_back(self, permit: Permit) -> None:
-        """Take a permit back; whoever is first in line gets it."""
+        """Release a permit; it is granted to the first request in the queue."""
         with self._lock:
-            self._give_back(permit, self._pools[permit.pool], self._clock.monotonic_s())
+            self._release(permit, self._pools[permit.pool], self._clock.monotonic_s())
 
     def hold_s(self, name: str) -> float:
-        """Return for how long a pool's requests hold their permits in the mean, 0 if unknown."""
+        """Return the mean time that a pool's requests hold their permits, 0 if unknown."""
         with self._lock:
             pool = self._pools.get(name)
-            return pool.line.hold_s if pool else 0.0
+            return pool.queue.hold_s if pool else 0.0
 
     def waiting(self) -> dict[str, int]:
-        """Return how many requests wait, by pool."""
+        """Return the number of queued requests by pool; pools without any are left out."""
         with self._lock:
-            return {name: len(pool.line) for name, pool in self._pools.items() if pool.line}
+            return {name: len(pool.queue) for name, pool in self._pools.items() if pool.queue}
 
     def in_use(self) -> dict[str, int]:
-        """Return how many permits are in use, by pool."""
+        """Return the number of permits in use by pool; pools without any are left out."""
         with self._lock:
-            used = {name: pool.line.in_use for name, pool in self._pools.items()}
+            used = {name: pool.queue.in_use for name, pool in self._pools.items()}
             return {name: count for name, count in used.items() if count}
 
     def _wait(
@@ -157,72 +157,73 @@
         request: Request,
         pool: _Pool,
         waiter: waiting_line.Waiter,
-        woken: threading.Event,
+        wake_event: threading.Event,
     ) -> None:
-        """Return once the request has a permit, is refused, is cancelled or has waited enough."""
-        request.token.on_cancel(woken.set)
+        """Return once the request has a permit, is evicted or cancelled, or its wait is over."""
+        request.token.on_cancel(wake_event.set)
         try:
-            while not woken.is_set():
+            while not wake_event.is_set():
                 now_s = self._clock.monotonic_s()
                 if now_s >= waiter.until_s:
                     return
                 with self._lock:
-                    # A renewal may have brought more room.
+                    # A renewal may have raised the number of permits.
                     self._grant(request.pool, pool, now_s)
-                woken.wait(min(waiter.until_s - now_s, _POLL_S))
+                wake_event.wait(min(waiter.until_s - now_s, _POLL_S))
         finally:
-            request.token.forget(woken.set)
+            request.token.forget(wake_event.set)
 
-    def _give_back(self, permit: Permit, pool: _Pool, now_s: float) -> None:
-        pool.line.release(now_s - permit.since_s)
+    def _release(self, permit: Permit, pool: _Pool, now_s: float) -> None:
+        pool.queue.release(now_s - permit.since_s)
         self._grant(permit.pool, pool, now_s)
 
     def _grant(self, name: str, pool: _Pool, now_s: float) -> None:
-        if not pool.line:
+        if not pool.queue:
             return
-        for each in pool.line.grant(self._most(name, pool, now_s), now_s):
+        for each in pool.queue.grant(self._permit_limit(name, pool, now_s), now_s):
             pool.granted.add(each)
-            pool.woken[each].set()
+            pool.wake_events[each].set()
 
-    def _most(self, name: str, pool: _Pool, now_s: float) -> float:
-        """Return how many permits this box has for a pool."""
+    def _permit_limit(self, name: str, pool: _Pool, now_s: float) -> float:
+        """Return how many permits this box has for a pool; infinite if no endpoint is available."""
         state = self._view.get()
-        if pool.heard is None or pool.heard_from is not state:
-            pool.heard = self._heard(name, pool, state)
-            pool.heard_from = state
-        if not pool.heard.capacity:
-            # No endpoint may be asked: placing the request tells its caller why.
+        if pool.snapshot is None or pool.snapshot_state is not state:
+            pool.snapshot = self._make_snapshot(name, pool, state)
+            pool.snapshot_state = state
+        if not pool.snapshot.capacity:
+            # No endpoint is available: placement then fails and tells the caller why.
             return float("inf")
-        chance = retry_times.hash_fraction(f"{self._box_name}/{name}")
-        return permits.round_permits(pool.heard.permit_share(now_s), chance)
+        rounding_fraction = retry_times.hash_fraction(f"{self._box_name}/{name}")
+        return permits.round_permits(pool.snapshot.permit_share(now_s), rounding_fraction)
 
-    def _heard(
+    def _make_snapshot(
         self, name: str, pool: _Pool, state: router_state.RouterState
     ) -> permits.PoolSnapshot:
-        """Return what the last renewal told of a pool, less the endpoints that may not be asked."""
-        of_pool = [each for each in state.endpoints if each.pool == name]
+        """Return the snapshot of a pool by the last renewal, of its available endpoints alone."""
+        pool_endpoints = [each for each in state.endpoints if each.pool == name]
         withdrawn = self._counts.withdrawn().keys()
-        open_now = [each for each in of_pool if self._is_open(each, state, withdrawn)]
+        available = [each for each in pool_endpoints if self._is_available(each, state, withdrawn)]
         configured = state.tables.pools.get(name)
-        usual = configured.slots if configured else 0
-        slots = [each.slots or usual for each in open_now]
-        total = sum(state.loads.get(each.key, 0) for each in open_now)
-        worked_s = permits.estimated_service_time_s(pool.line.hold_s, sum(slots), total)
+        default_slots = configured.slots if configured else 0
+        slots = [each.slots or default_slots for each in available]
+        total = sum(state.loads.get(each.key, 0) for each in available)
+        service_time_s = permits.estimated_service_time_s(pool.queue.hold_s, sum(slots), total)
         is_brittle = self._counts.most_turned_away(name) is not None
-        queued = permits.queue_ratio(pool.objective_s, worked_s)
+        queue_ratio = permits.queue_ratio(pool.objective_s, service_time_s)
         return permits.PoolSnapshot(
-            own=sum(state.own_loads.get(each.key, 0) for each in open_now),
+            own=sum(state.own_loads.get(each.key, 0) for each in available),
             total=total,
-            capacity=permits.pool_capacity(slots, 0.0 if is_brittle else queued),
+            capacity=permits.pool_capacity(slots, 0.0 if is_brittle else queue_ratio),
             min_permits=permits.MIN_PERMITS_BRITTLE if is_brittle else permits.MIN_PERMITS,
             boxes=state.registered_boxes - state.unreached.get(name, 0),
             at_s=state.loads_at_s,
         )
 
     @staticmethod
-    def _is_open(
+    def _is_available(
         endpoint: membership.Endpoint, state: router_state.RouterState, withdrawn: Set[str]
     ) -> bool:
-        # What this box alone suspects is room all the same: one that turned it away was full.
-        is_out = endpoint.leaving or endpoint.hall in state.evacuated.names
-        return not (is_out or endpoint.key in state.held_off or endpoint.key in withdrawn)
+        # An endpoint that only this box avoids still counts as capacity: one that rejected its
+        # requests was full.
+        is_excluded = endpoint.leaving or endpoint.hall in state.evacuated.names
+        return not (is_excluded or endpoint.key in state.held_off or endpoint.key in withdrawn)
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -1,4 +1,4 @@
-"""The renewal controller of a router: its lease, and what it learns with each renewal."""
+"""The renewal controller of a router: renews its lease and applies what each answer reports."""
 
 from __future__ import annotations
 
@@ -36,33 +36,35 @@
 
 _LOG = logging.getLogger(__name__)
 TICKS_AN_INTERVAL = 4
-"""A box that may not serve yet (it lacks a lease, a configuration or endpoints), or for which more
-notes of where prompts lie are waiting, renews at each tick, any other at every fourth one. After a
-loss of all processes routers are up 0.04 s before a leader (design 011): the next tick then decides
-when they serve."""
-_HOPS = 2
-"""How often one renewal follows a box's word on who leads."""
+"""Ticks per renewal interval.
+
+A box renews at each tick while it may not serve yet (it lacks a lease, a configuration or
+endpoints) or while the leader has more notes for it (which engine holds which prompt part); any
+other box renews at every fourth tick. When all processes restart, routers are up 0.04 s before
+there is a leader (design 011), so the time to the next tick decides when they serve."""
+_MAX_ATTEMPTS_PER_RENEWAL = 2
+"""Control boxes that one renewal asks at most: the first, and the leader that it names."""
 
 
 @attrs.frozen
 class StartDraining:
-    """Asks to be named no more."""
+    """Asks the controller to report this box as draining, so that it is no longer listed."""
 
 
 @attrs.frozen
 class UseAddresses:
-    """Says where control boxes are found when all that answered before are gone."""
+    """Sets the seed addresses: control boxes to ask when all known ones are gone."""
 
     control_addresses: tuple[str, ...]
 
 
 @attrs.frozen
 class _FetchPart:
-    """Asks for one part of a configuration; what came meanwhile is handled before the next."""
+    """Fetches one part of a configuration; messages queued meanwhile come before the next part."""
 
 
 class RenewalController(actors.Controller):
-    """Renews with the leading control box and publishes `router_state.RouterState`."""
+    """Renews the lease with the leading control box and publishes `router_state.RouterState`."""
 
     def __init__(
         self,
@@ -80,13 +82,13 @@
         listed: actors.View[listing.Listing],
         clock: clocks.Clock,
         counters: metrics.Metrics,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         super().__init__()
         self._box = box
-        self._first_addresses = control_addresses
+        self._seed_addresses = control_addresses
         self._addresses = control_addresses
-        self._present_addresses = control_addresses
+        self._current_addresses = control_addresses
         self._source_addresses = control_addresses
         self._lease = leases.HeldLease(lease_margin_s)
         self._interval_s = interval_s
@@ -99,20 +101,20 @@
         self._view = view
         self._listed = listed
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._links = links.Links(timeout_s, counters)
-        self._fetch = configuration_fetch.ConfigurationFetch(self._links, clock, chance)
-        self._fetches = False
-        self._believed = listed_endpoints.IncarnationTracker()
-        self._stated: versions.Versioned[listing.Endpoints] = versions.Versioned(())
-        self._stated_keys: list[str] = []
+        self._fetch = configuration_fetch.ConfigurationFetch(self._links, clock, rng)
+        self._is_fetching = False
+        self._tracker = listed_endpoints.IncarnationTracker()
+        self._endpoint_list: versions.Versioned[listing.Endpoints] = versions.Versioned(())
+        self._endpoint_list_keys: list[str] = []
         self._leader = ""
         self._next_note = 0
-        self._more_notes = False
-        self._fails = False
+        self._has_more_notes = False
+        self._renewal_fails = False
 
     def handle(self, message: object) -> None:
-        """Renew, or begin to drain."""
+        """Renew if due, continue a download, set the seed addresses or begin to drain."""
         match message:
             case actors.Tick():
                 if self._clock.monotonic_s() >= self._due_at_s:
@@ -121,53 +123,53 @@
             case _FetchPart():
                 self._fetch_part()
             case UseAddresses(addresses):
-                self._first_addresses = addresses
-                self._know_addresses()
+                self._seed_addresses = addresses
+                self._merge_addresses()
             case StartDraining():
                 self._box = attrs.evolve(self._box, draining=True)
                 self._view.publish(attrs.evolve(self._view.get(), draining=True))
                 self._renew()
 
     def _renew(self) -> None:
-        began_s = self._clock.monotonic_s()
-        obeyed = self._view.get().evacuated
+        started_s = self._clock.monotonic_s()
+        previous_evacuated = self._view.get().evacuated
         self._renew_once()
-        if self._view.get().evacuated != obeyed:
-            # The operator waits until the leader knows that this box obeys.
+        if self._view.get().evacuated != previous_evacuated:
+            # Reports the new halls revision at once: the operator's call waits for it.
             self._renew_once()
-        self._take_own_listing()
-        if self._view.get().may_serve(self._clock.monotonic_s()) and not self._more_notes:
-            # Half a tick early: ticks are never quite on time.
+        self._use_own_listing()
+        if self._view.get().may_serve(self._clock.monotonic_s()) and not self._has_more_notes:
+            # Due half a tick early, since ticks are never exactly on time.
             tick_s = self._interval_s / TICKS_AN_INTERVAL
-            self._due_at_s = began_s + self._interval_s - tick_s / 2
+            self._due_at_s = started_s + self._interval_s - tick_s / 2
 
     def _begin_fetch(self) -> None:
-        """Ask for a configuration that is not here yet, and again where all were asked in vain."""
-        if self._fetch.is_incomplete and not self._fetches:
+        """Begin to download a configuration that is missing, or retry if all sources failed."""
+        if self._fetch.is_incomplete and not self._is_fetching:
             self._fetch.begin_round(self._source_addresses, self._leader)
-            self._fetch_on()
+            self._request_next_part()
 
-    def _fetch_on(self) -> None:
-        self._fetches = self._fetch.may_step
-        if self._fetches:
+    def _request_next_part(self) -> None:
+        self._is_fetching = self._fetch.may_step
+        if self._is_fetching:
             self.actor_ref.tell(_FetchPart())
 
     def _fetch_part(self) -> None:
-        """Fetch one part; use a configuration that is whole and renew, so that it is known here."""
-        self._fetches = False
+        """Fetch one part; once complete, use the configuration and renew to report its version."""
+        self._is_fetching = False
         fetched = self._fetch.step()
         if fetched is None:
-            self._fetch_on()
+            self._request_next_part()
             return
-        self._use(fetched)
+        self._use_configuration(fetched)
         self._renew()
         self._begin_fetch()
 
-    def _use(self, fetched: configuration_fetch.FetchedConfiguration) -> None:
-        """Publish a configuration made ready; an older one is never fetched."""
+    def _use_configuration(self, fetched: configuration_fetch.FetchedConfiguration) -> None:
+        """Parse and publish a configuration; an older one than that in use is never fetched."""
         configuration = attrs.evolve(self._format.parse(fetched.document), version=fetched.version)
-        made = tables.LookupTables(configuration)
-        self._view.publish(attrs.evolve(self._view.get(), tables=made))
+        lookup_tables = tables.LookupTables(configuration)
+        self._view.publish(attrs.evolve(self._view.get(), tables=lookup_tables))
         events.emit(
             _LOG,
             events.Event.CONFIGURATION_IN_USE,
@@ -177,45 +179,49 @@
             fetch_s=round(fetched.took_s, 3),
         )
 
-    def _take_own_listing(self) -> None:
-        """Use the list that this box read itself if that is newer than what control told."""
+    def _use_own_listing(self) -> None:
+        """Use the list that this box read itself if it is newer than the last answer of control."""
         known = self._view.get()
         listed = self._listed.get()
         if listed.read_at_s <= known.heard_at_s or not listed.endpoints.value:
             return
-        self._state_list(listed.endpoints)
-        # Nobody allots while control is silent.
-        cold_now = dict.fromkeys((each.key for each in listed.cold(self._clock.monotonic_s())), 0)
-        self._view.publish(attrs.evolve(self._with_endpoints(known, self._stated), cold=cold_now))
+        self._set_endpoint_list(listed.endpoints)
+        # No quotas are assigned while the control boxes are silent, so cold endpoints get 0.
+        zero_quotas = dict.fromkeys(
+            (each.key for each in listed.cold(self._clock.monotonic_s())), 0
+        )
+        self._view.publish(
+            attrs.evolve(self._with_endpoints(known, self._endpoint_list), cold=zero_quotas)
+        )
 
     def _renew_once(self) -> None:
-        address = self._leader or self._chance.choice(self._addresses)
-        for _ in range(_HOPS):
+        address = self._leader or self._rng.choice(self._addresses)
+        for _ in range(_MAX_ATTEMPTS_PER_RENEWAL):
             own_loads = self._counts.load()
             sent_at_s = self._clock.monotonic_s()
             try:
-                answer = self._ask(address, own_loads)
+                answer = self._send_report(address, own_loads)
             except errors.CroftpulleyError as failure:
                 self._leader = ""
-                self._failed(address, failure)
+                self._note_failed_renewal(address, failure)
                 return
             if answer.lease_s > 0:
                 self._leader = address
-                self._granted(answer, sent_at_s, own_loads)
+                self._handle_grant(answer, sent_at_s, own_loads)
                 return
             self._view.publish(attrs.evolve(self._view.get(), heard_no_leader=True))
-            self._learn_addresses(answer)
+            self._update_addresses(answer)
             if answer.configuration_version and answer.leader_address == address:
-                # The leader knows this box not yet; it will at the next renewal.
+                # The leader has not registered this box yet; it will have by the next renewal.
                 self._leader = address
-                self._take(answer, sent_at_s, own_loads)
+                self._apply_answer(answer, sent_at_s, own_loads)
                 return
             if answer.leader_address in ("", address):
                 self._leader = ""
                 return
             address = answer.leader_address
 
-    def _ask(
+    def _send_report(
         self, address: str, own_loads: listed_counts.EndpointLoads
     ) -> box_messages.BoxReportAnswer:
         known = self._view.get()
@@ -242,30 +248,30 @@
                 box_messages.RENEWALS_PATH, json_codec.encode(report)
             )
         except errors.CroftpulleyError:
-            # Should it have arrived all the same, a note that comes twice changes nothing.
+            # The report may have arrived all the same; a repeated note changes nothing.
             self._counts.give_back_notes(report.notes)
             raise
         return json_codec.decode(body, box_messages.BoxReportAnswer)
 
-    def _granted(
+    def _handle_grant(
         self,
         answer: box_messages.BoxReportAnswer,
         sent_at_s: float,
         own_loads: listed_counts.EndpointLoads,
     ) -> None:
-        if self._fails:
+        if self._renewal_fails:
             events.emit(_LOG, events.Event.RENEWED_AGAIN, leader_address=self._leader)
-        self._fails = False
-        self._take_lease(answer, sent_at_s)
-        self._learn_addresses(answer)
-        self._take(answer, sent_at_s, own_loads)
+        self._renewal_fails = False
+        self._renew_lease(answer, sent_at_s)
+        self._update_addresses(answer)
+        self._apply_answer(answer, sent_at_s, own_loads)
 
-    def _take_lease(self, answer: box_messages.BoxReportAnswer, sent_at_s: float) -> None:
+    def _renew_lease(self, answer: box_messages.BoxReportAnswer, sent_at_s: float) -> None:
         held = self._lease.is_valid(self._clock.monotonic_s())
         version = self._view.get().configuration.version
         if not leases.may_renew_lease(version, answer.configuration_version, holds_lease=held):
-            # Guards against acting on an older configuration, or honouring a key that was taken
-            # away, after the newer one was acknowledged: that waits only for boxes with a lease.
+            # Guards against acting on an older configuration, or honouring a revoked key, after the
+            # newer one was acknowledged: the acknowledgement waits only for boxes with a lease.
             return
         self._lease.record_renewal(sent_at_s, answer.lease_s)
         self._counts.renew_extra_share(
@@ -284,26 +290,26 @@
                 leader_address=self._leader,
             )
 
-    def _learn_addresses(self, answer: box_messages.BoxReportAnswer) -> None:
-        """Keep the control boxes' present addresses, and the first ones should all be gone."""
+    def _update_addresses(self, answer: box_messages.BoxReportAnswer) -> None:
+        """Keep the current addresses of control boxes; seed addresses remain as a fallback."""
         if not answer.control_addresses:
             return
-        self._present_addresses = answer.control_addresses
-        # One that is down costs a fetch the time of a call (0.4 s). With two of five down, each of
-        # 150 routers took 0.82 s for a configuration of 3 kB, which was then in force later than an
-        # operator waits for its answer.
+        self._current_addresses = answer.control_addresses
+        # Boxes that are down are left out: each costs a fetch one call timeout (0.4 s). With two
+        # of five down, each of 150 routers took 0.82 s for a configuration of 3 kB, which then
+        # came into force after the operator's call had timed out.
         silent = frozenset(answer.silent_addresses)
         self._source_addresses = tuple(
             each for each in answer.control_addresses if each not in silent
         )
-        self._know_addresses()
+        self._merge_addresses()
         self._links.keep({*self._addresses, answer.leader_address})
 
-    def _know_addresses(self) -> None:
-        known = (*self._present_addresses, *self._first_addresses)
+    def _merge_addresses(self) -> None:
+        known = (*self._current_addresses, *self._seed_addresses)
         self._addresses = tuple(dict.fromkeys(known))
 
-    def _take(
+    def _apply_answer(
         self,
         answer: box_messages.BoxReportAnswer,
         sent_at_s: float,
@@ -312,21 +318,21 @@
         known = self._view.get()
         self._suspected.learn(answer.suspects)
         if answer.endpoints:
-            # An empty list is not taken: a fleet without an endpoint serves nobody, and one that is
-            # gone shows itself by failing.
-            self._state_list(versions.Versioned(answer.endpoints))
+            # An empty list is ignored: without endpoints nothing can be served, and requests to an
+            # endpoint that is really gone fail visibly.
+            self._set_endpoint_list(versions.Versioned(answer.endpoints))
         self._next_note = answer.next_note
-        # A box that has just started gets its notes page by page; until it has them all it sends
-        # prompts to engines that do not hold them.
-        taken = sum(len(parts) for parts in answer.notes.values())
-        self._more_notes = taken >= prompt_part_index.MAX_NOTES_PER_RESPONSE
+        # A box that has just started gets its notes page by page; until it has them all, it sends
+        # prompts to engines that have not cached them.
+        received_parts = sum(len(parts) for parts in answer.notes.values())
+        self._has_more_notes = received_parts >= prompt_part_index.MAX_NOTES_PER_RESPONSE
         self._fetch.set_target_version(answer.configuration_version)
         if answer.loads is not None:
             known = attrs.evolve(
                 known,
-                loads=self._by_key(answer.loads, answer),
+                loads=self._counts_by_key(answer.loads, answer),
                 own_loads=own_loads.in_flight,
-                reading_tokens=self._by_key(answer.reading_tokens, answer),
+                reading_tokens=self._counts_by_key(answer.reading_tokens, answer),
                 own_reading_tokens=own_loads.reading_tokens,
                 loads_at_s=sent_at_s,
             )
@@ -343,7 +349,7 @@
             leader_address=self._leader,
             registered_boxes=answer.registered_boxes or known.registered_boxes,
         )
-        changed = self._with_cold(changed, answer, sent_at_s)
+        changed = self._with_cold_quotas(changed, answer, sent_at_s)
         if answer.evacuated is not None:
             changed = changed.with_evacuated(answer.evacuated, self._clock.monotonic_s())
             events.emit(
@@ -355,50 +361,50 @@
         if answer.boxes is not None:
             changed = attrs.evolve(changed, boxes=answer.boxes, boxes_version=answer.boxes_version)
             events.emit(_LOG, events.Event.BOXES_CHANGED, boxes=[box.name for box in answer.boxes])
-        if answer.endpoints or self._believed.has_stale_entries:
-            changed = self._with_endpoints(changed, self._stated)
+        if answer.endpoints or self._tracker.has_stale_entries:
+            changed = self._with_endpoints(changed, self._endpoint_list)
         self._counts.learn_notes(answer.notes)
         self._view.publish(changed)
 
-    def _with_cold(
+    def _with_cold_quotas(
         self,
         state: router_state.RouterState,
         answer: box_messages.BoxReportAnswer,
         sent_at_s: float,
     ) -> router_state.RouterState:
-        """Return the state with what was told of cold endpoints; kept if it is of another list."""
-        kept = state.without_old_returns(self._clock.monotonic_s())
-        if answer.endpoints_version != self._stated.version:
-            return kept
-        told = send_quotas.decode_quotas(self._by_key(answer.cold, answer))
-        return attrs.evolve(kept, cold=told, cold_at_s=sent_at_s)
-
-    def _by_key(
+        """Return the state with the quotas of cold endpoints; unchanged if for another list."""
+        unchanged = state.without_old_returns(self._clock.monotonic_s())
+        if answer.endpoints_version != self._endpoint_list.version:
+            return unchanged
+        quotas = send_quotas.decode_quotas(self._counts_by_key(answer.cold, answer))
+        return attrs.evolve(unchanged, cold=quotas, cold_at_s=sent_at_s)
+
+    def _counts_by_key(
         self, numbers: tuple[int, ...], answer: box_messages.BoxReportAnswer
     ) -> dict[str, int]:
-        """Return counts by endpoint; none where this box holds another list than they go by."""
-        if answer.endpoints_version != self._stated.version:
+        """Return counts by endpoint key; none if they refer to another list than this box has."""
+        if answer.endpoints_version != self._endpoint_list.version:
             return {}
-        return listed_counts.decode_counts(numbers, self._stated_keys)
+        return listed_counts.decode_counts(numbers, self._endpoint_list_keys)
 
-    def _state_list(self, stated: versions.Versioned[listing.Endpoints]) -> None:
-        """Take a list as it was told or read; its keys are made once, not at each answer."""
-        self._stated = stated
-        self._stated_keys = [each.key for each in stated.value]
+    def _set_endpoint_list(self, endpoint_list: versions.Versioned[listing.Endpoints]) -> None:
+        """Store a list that was received or read; its keys are computed once, not per answer."""
+        self._endpoint_list = endpoint_list
+        self._endpoint_list_keys = [each.key for each in endpoint_list.value]
 
     def _with_endpoints(
-        self, state: router_state.RouterState, stated: versions.Versioned[listing.Endpoints]
+        self, state: router_state.RouterState, endpoint_list: versions.Versioned[listing.Endpoints]
     ) -> router_state.RouterState:
-        """Return the state with what is believed of a list; lives that ended are forgotten."""
-        endpoints = self._believed.update(stated.value, self._clock.monotonic_s())
+        """Return the state with the tracked endpoints; drop data of incarnations that ended."""
+        endpoints = self._tracker.update(endpoint_list.value, self._clock.monotonic_s())
         self._counts.keep(endpoints)
         self._suspected.keep(endpoints)
         self._origins.keep(endpoints)
-        return attrs.evolve(state, endpoints=endpoints, endpoints_version=stated.version)
+        return attrs.evolve(state, endpoints=endpoints, endpoints_version=endpoint_list.version)
 
-    def _failed(self, address: str, failure: errors.CroftpulleyError) -> None:
-        """Log the first failed renewal of a row, and the loss of the lease once."""
-        if not self._fails:
+    def _note_failed_renewal(self, address: str, failure: errors.CroftpulleyError) -> None:
+        """Log the first of consecutive failed renewals, and the loss of the lease once."""
+        if not self._renewal_fails:
             events.emit(
                 _LOG,
                 events.Event.RENEW_FAILED,
@@ -406,7 +412,7 @@
                 address=address,
                 problem=str(failure),
             )
-        self._fails = True
+        self._renewal_fails = True
         if self._lease.until_s > 0 and not self._lease.is_valid(self._clock.monotonic_s()):
             events.emit(_LOG, events.Event.LEASE_LOST, level=logging.ERROR)
             self._lease.until_s = float("-inf")
--- a/src/croftpulley/controllers/router_state.py
+++ b/src/croftpulley/controllers/router_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of the fleet."""
+"""A router's view of the fleet."""
 
 from __future__ import annotations
 
@@ -8,30 +8,33 @@
 from croftpulley.settings import fleet
 
 SETTLED_S = 2.0
-"""How long a box goes by the leader's word that a pool's endpoints have one version."""
+"""How long the leader's report that a pool's endpoints have one version remains valid."""
 LONGEST_SETTLED_S = 60.0
-"""Streams of routes with a longer time limit may outlast what the leader remembers of versions that
-are gone (`core.pool_versions.RESUMABLE_AFTER_UNLISTED_S`), so nothing is settled for them."""
+"""Longest time limit of a route whose streams may rely on `RouterState.is_settled`: longer streams
+may outlast the leader's record of versions that are gone
+(`core.pool_versions.RESUMABLE_AFTER_UNLISTED_S`)."""
 
 
 @attrs.frozen
 class RouterState:
-    """What the router called ``box_name`` knows; published whole.
-
-    ``loads`` are the requests in flight at each endpoint from all routers, as the control box last
-    summed them up, and ``own_loads`` this router's part of that sum; the same holds for the prompt
-    tokens that endpoints still have to read. ``held_off`` are endpoints that fail more often than
-    others of their pool, by what all routers met. ``heard_no_leader`` tells that since the last
-    lease a control box has answered, but none that leads. ``leader_address`` is where the box leads
-    that granted the last lease. ``evacuated`` are the halls whose endpoints get no requests, and
-    ``returned_at_s`` says when this box learned that halls are in service again. ``cold`` says how
-    many requests a second this box may send to each cold endpoint, as told at ``cold_at_s``.
-    ``unreached`` is how many boxes reach no endpoint of a pool, by pools, ``reaching`` some that do
-    for each pool that this one has lost, and ``answering`` are the pools of which other boxes had
-    answers lately.
-    ``mixed`` are the pools whose endpoints have, or had lately, several versions; ``None``: the
-    leading control box cannot tell.
-    ``registered_boxes`` is how many routers the fleet has, as last told with a lease.
+    """The state that the router called ``box_name`` knows; published as one immutable snapshot.
+
+    ``loads`` are the requests in flight at each endpoint from all routers, as last summed up by the
+    leading control box, and ``own_loads`` is this router's share of that sum, both as of
+    ``loads_at_s``; ``reading_tokens`` and ``own_reading_tokens`` are the same for the prompt tokens
+    that endpoints still have to prefill. ``heard_at_s`` is when the last answered renewal was sent.
+    ``held_off`` are endpoints that fail more often than others of their pool, over the outcomes of
+    all routers. ``heard_no_leader`` is set if a control box has answered since the last lease, but
+    no leader. ``leader_address`` is the address of the leader that granted the last lease.
+    ``evacuated`` are the halls whose endpoints get no requests, and ``returned_at_s`` is when this
+    box learned that a hall is in service again. ``cold`` is the quota of each cold endpoint, in
+    requests per second from this box, as received at ``cold_at_s``.
+    ``unreached`` is the number of boxes that reach no endpoint of a pool, ``reaching`` are some
+    boxes that do, for each pool that this one cannot reach, and ``answering`` are the pools from
+    which other boxes had recent responses.
+    ``mixed`` are the pools whose endpoints have, or recently had, several versions; ``None`` if the
+    leading control box does not know.
+    ``registered_boxes`` is the number of routers in the fleet, as last reported with a lease.
     """
 
     box_name: str = ""
@@ -65,10 +68,10 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether it is likely this box alone that has lost touch with the control boxes.
+        """Tell whether probably only this box has lost its connection to the control boxes.
 
-        Where control boxes answer without a leader all boxes wait for one, and a box that has not
-        had a lease yet has just started, perhaps with all others.
+        If control boxes answer but there is no leader, all boxes wait for one; a box that has never
+        had a lease has just started, perhaps together with all others.
         """
         return self.lease_until_s > float("-inf") and not self.heard_no_leader
 
@@ -78,7 +81,7 @@
         return self.tables.configuration
 
     def with_evacuated(self, evacuated: halls.EvacuatedHalls, now_s: float) -> RouterState:
-        """Return the state once this box obeys what is evacuated now."""
+        """Return the state with these halls evacuated; halls no longer evacuated return now."""
         returned_at_s = {
             hall: at_s for hall, at_s in self.returned_at_s.items() if hall not in evacuated.names
         }
@@ -88,7 +91,7 @@
         return attrs.evolve(self, evacuated=evacuated, returned_at_s=returned_at_s)
 
     def without_old_returns(self, now_s: float) -> RouterState:
-        """Return the state without halls whose return says nothing of cold endpoints any more."""
+        """Return the state without halls that returned too long ago to have cold endpoints."""
         if not self.returned_at_s:
             return self
         returned_at_s = {
@@ -100,11 +103,11 @@
 
     @property
     def may_be_cold(self) -> bool:
-        """Tell quickly whether any endpoint may be cold."""
+        """Whether any endpoint may be cold; a cheap check before `cold_quota`."""
         return bool(self.cold or self.returned_at_s)
 
     def cold_a_second(self, endpoint: membership.Endpoint, now_s: float) -> int | None:
-        """Return how many requests a second may go to a cold endpoint, ``None`` if it is warm."""
+        """Return the quota of an endpoint in requests per second, ``None`` if it is warm."""
         pool = self.tables.pools.get(endpoint.pool)
         if pool is None or not pool.cold_per_s:
             return None
@@ -117,7 +120,7 @@
     def is_settled(self, pool: str, now_s: float) -> bool:
         """Tell whether all endpoints of a pool have had one version for longer than streams last.
 
-        That is the leading control box's word; without one that is recent, nothing is settled.
+        This relies on the leading control box's report; without a recent one no pool is settled.
         """
         if self.mixed is None or now_s > self.heard_at_s + SETTLED_S:
             return False
--- a/testing/controllers/test_gate.py
+++ b/testing/controllers/test_gate.py
@@ -21,19 +21,19 @@
 
 @pytest.fixture
 def gained(clock):
-    """Return a gate that has just gained an engine and was not told yet what runs there."""
-    made = gate.EngineGate("me", clock, metrics.Metrics())
-    made.follow(fleet_state(epoch=3), ())
-    return made
+    """Return a gate that has just gained an engine and has no load report of it yet."""
+    engine_gate = gate.EngineGate("me", clock, metrics.Metrics())
+    engine_gate.follow(fleet_state(epoch=3), ())
+    return engine_gate
 
 
 @pytest.fixture
 def owned(gained):
-    tell(gained, running=0)
+    report_load(gained, running=0)
     return gained
 
 
-def tell(engine_gate, running):
+def report_load(engine_gate, running):
     engine_gate.ask("e")
     engine_gate.report("e", running, slots=0)
 
@@ -51,28 +51,28 @@
     return answer.code if isinstance(answer, gate.NotAdmitted) else codes.ResultCode.OK
 
 
-def test_nothing_is_admitted_once_the_lease_has_ended(owned, clock):
+def test_nothing_is_admitted_after_the_lease_has_expired(owned, clock):
     clock.advance(LEASE_UNTIL_S)
     assert code_of(owned.admit("e", 3)) is NO_LEASE
 
 
 @pytest.mark.parametrize(("engine", "epoch"), [("e", 2), ("e", 4), ("other", 3)])
-def test_another_epoch_or_engine_is_not_admitted(owned, engine, epoch):
+def test_requests_for_another_epoch_or_engine_are_not_admitted(owned, engine, epoch):
     assert code_of(owned.admit(engine, epoch)) is NOT_OWNER
 
 
-def test_an_engine_given_up_stays_given_up_until_it_is_granted_anew(owned):
+def test_a_released_engine_is_not_admitted_to_until_it_is_granted_again(owned):
     assert owned.give_up(("e",)) == (membership.Ownership("e", "me", 3),)
     owned.follow(fleet_state(epoch=3), ())
     assert code_of(owned.admit("e", 3)) is NOT_OWNER
     owned.follow(fleet_state(epoch=4), ())
     assert code_of(owned.admit("e", 4)) is codes.ResultCode.LOAD_UNKNOWN
-    tell(owned, running=0)
+    report_load(owned, running=0)
     assert code_of(owned.admit("e", 4)) is codes.ResultCode.OK
     assert owned.give_up(()) == ()
 
 
-def test_the_count_is_exact_and_late_ends_of_an_earlier_epoch_do_not_count(owned):
+def test_the_count_is_exact_and_ignores_requests_of_an_earlier_epoch_that_end_late(owned):
     owned.admit("e", 3)
     assert owned.pool_loads() == (membership.PoolLoad("llm", 1, 1),)
     owned.follow(fleet_state(epoch=4, box="other"), ())
@@ -81,50 +81,49 @@
     assert owned.pool_loads() == (membership.PoolLoad("llm", 0, 1),)
 
 
-def test_a_leaving_engine_is_refused_with_its_load(owned):
+def test_requests_to_a_leaving_engine_are_refused_with_its_load(owned):
     owned.follow(fleet_state(epoch=3, leaving=True), ())
     refused = owned.admit("e", 3)
     assert attrs.asdict(refused) == {"code": codes.ResultCode.ENGINE_LEAVING, "load": 0}
 
 
-def test_a_new_owner_admits_nothing_before_the_engine_has_told_what_runs_there(gained):
-    """An owner that stopped had left streams at its engine; the next one counted from 0.
+def test_a_new_owner_admits_nothing_before_the_first_load_report(gained):
+    """Guards against an engine that gets more requests than its cap when its owner changes.
 
-    What it admitted until the engine's next load report, up to a second later, came on top of
-    them: an engine held more than the cap allows. Evidence: the same over sockets in
-    ``test_surge.py``, counted at the engine.
+    An owner that had stopped left streams at its engine, and the next one counted from 0 until the
+    next load report, up to a second later. ``test_surge.py`` counts the same at the engine.
     """
     refused = gained.admit("e", 3)
     assert attrs.asdict(refused) == {"code": codes.ResultCode.LOAD_UNKNOWN, "load": -1}
-    tell(gained, running=5)
+    report_load(gained, running=5)
     assert code_of(gained.admit("e", 3)) is codes.ResultCode.OK
     assert gained.pool_loads() == (membership.PoolLoad("llm", 6, 1),)
 
 
-def test_an_engine_that_does_not_tell_holds_its_new_owner_up_for_a_moment_only(gained, clock):
+def test_a_missing_load_report_delays_a_new_owner_for_a_limited_time_only(gained, clock):
     gained.ask("e")
-    clock.advance(gate.LOAD_WAIT_S)
+    clock.advance(gate.MAX_LOAD_WAIT_S)
     assert code_of(gained.admit("e", 3)) is codes.ResultCode.OK
 
 
-def test_whoever_gains_an_engine_has_it_asked_at_once(gained):
+def test_gaining_an_engine_triggers_a_load_query_at_once(gained):
     asked = []
     gained.on_gained = lambda: asked.append(gained.unheard())
     gained.follow(fleet_state(epoch=3), ())
     assert asked == []
     gained.follow(fleet_state(epoch=4), ())
     assert [[each.name for each in engines] for engines in asked] == [["e"]]
-    tell(gained, running=0)
+    report_load(gained, running=0)
     assert gained.unheard() == ()
 
 
-def test_an_engine_that_started_anew_under_its_owner_needs_not_tell(owned):
-    """The requests of the life before ended with it, and what came since passed this owner."""
+def test_an_engine_that_restarts_under_its_owner_needs_no_new_load_report(owned):
+    """Requests of the previous incarnation ended with it; this owner counted all later ones."""
     owned.follow(fleet_state(epoch=3, incarnation="2"), ())
     assert code_of(owned.admit("e", 3)) is codes.ResultCode.OK
 
 
-def test_what_an_engine_told_under_an_earlier_ownership_does_not_count(gained):
+def test_a_load_report_requested_under_an_earlier_ownership_is_ignored(gained):
     gained.ask("e")
     gained.follow(fleet_state(epoch=4), ())
     gained.report("e", running=0, slots=0)
--- a/testing/controllers/test_inventory.py
+++ b/testing/controllers/test_inventory.py
@@ -1,4 +1,4 @@
-"""What a young leader learns from the engines' caches."""
+"""A leader that has just started reads the caches of engines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 FAR_S = 1e9
 SILENT = "127.0.0.1:1"
 SILENCE_S = 5.0
-"""A reader that waits for this engine before it asks others is seen to."""
+"""How long the silent engine blocks its reader; a test that ran into this would fail."""
 
 
 def engine(number, pool="llm"):
@@ -32,66 +32,66 @@
 
 
 class Caches(caches.CacheReader):
-    """The first engine says nothing until the test is over, the others answer at once."""
+    """The first engine does not answer until the test is over, the others answer at once."""
 
     def __init__(self):
-        self.over = threading.Event()
-        self.gave_up = False
+        self.test_is_over = threading.Event()
+        self.timed_out = False
         self.asked = []
 
     def read(self, engine):
         self.asked.append(engine.pool)
         if engine.address == SILENT:
-            self.gave_up = not self.over.wait(SILENCE_S)
+            self.timed_out = not self.test_is_over.wait(SILENCE_S)
             raise errors.CroftpulleyError(codes.ResultCode.ENGINE_UNREACHABLE, engine.address)
         return (caches.KeptPart("short", 400), caches.KeptPart("long", 9000))
 
 
 class Sessions:
-    """Keeps what it is told."""
+    """Records the notes that are sent to the session controller."""
 
     def __init__(self):
-        self.told = {}
+        self.notes = {}
 
     def tell(self, message):
         assert isinstance(message, sessions.PostNotes)
-        self.told.update(message.notes)
+        self.notes.update(message.notes)
 
 
 @pytest.fixture
 def reader():
-    reads = Caches()
-    yield reads
-    reads.over.set()
+    cache_reader = Caches()
+    yield cache_reader
+    cache_reader.test_is_over.set()
 
 
 @pytest.fixture
-def told(reader):
-    """Return what reached the sessions once all engines that answer were heard."""
+def notes(reader):
+    """Return the notes sent to the session controller; they arrive while the test runs."""
     clock = clocks.ManualClock()
-    standing = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
+    status = replica_standing.ReplicaStatus(states.Role.LEADER, 1, "127.0.0.1:9", FAR_S)
     engines = (*(engine(number) for number in range(1, 41)), engine(99, "of another writer"))
     listed = listing.Listing(versions.Versioned(engines), clock.monotonic_s())
-    kept = Sessions()
+    session_controller = Sessions()
     controller = inventory.InventoryController(
-        reader, actors.View(standing), actors.View(listed), lambda: {"llm"}, kept, clock
+        reader, actors.View(status), actors.View(listed), lambda: {"llm"}, session_controller, clock
     )
     controller.handle(actors.Tick())
-    return kept.told
+    return session_controller.notes
 
 
-def test_an_engine_that_does_not_answer_holds_up_few_others(told, reader):
-    # It shares its turn with every sixteenth of the others.
-    wait_until(lambda: len(told) >= 37, "all others are heard")
-    assert len(told) == 37
-    assert not reader.gave_up
+def test_an_engine_that_does_not_answer_delays_few_others(notes, reader):
+    # It shares its thread with every sixteenth engine, here two others.
+    wait_until(lambda: len(notes) >= 37, "all others are heard")
+    assert len(notes) == 37
+    assert not reader.timed_out
 
 
-def test_the_longest_parts_are_told_first(told):
-    wait_until(lambda: "e-2" in told, "an engine is heard")
-    assert told["e-2"] == ("long", "short")
+def test_the_longest_parts_are_sent_first(notes):
+    wait_until(lambda: "e-2" in notes, "an engine is heard")
+    assert notes["e-2"] == ("long", "short")
 
 
-def test_an_engine_of_a_pool_that_is_not_configured_is_not_asked(told, reader):
-    wait_until(lambda: len(told) >= 37, "all others are heard")
+def test_an_engine_of_a_pool_that_is_not_configured_is_not_asked(notes, reader):
+    wait_until(lambda: len(notes) >= 37, "all others are heard")
     assert set(reader.asked) == {"llm"}
--- a/testing/controllers/test_listing.py
+++ b/testing/controllers/test_listing.py
@@ -13,7 +13,7 @@
 from croftpulley.endpoints import lists
 from croftpulley.observe import events, metrics
 
-SPOILED = lists.Spoiled(lists.Defect.FIELD_TYPE, "zone: got 7")
+INVALID_ENTRY = lists.Spoiled(lists.Defect.FIELD_TYPE, "zone: got 7")
 
 
 class Always(listing.Turn):
@@ -24,7 +24,7 @@
 
 
 class Lists(lists.PlatformList):
-    """Gives out what the test says."""
+    """Returns or raises what the test has set."""
 
     def __init__(self):
         self.reading = lists.Reading()
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def read(platform, counters):
-    """Return a function that has the controller read once and gives what is believed."""
+    """Return a function that has the controller read once and returns what it published."""
     view = actors.View(listing.Listing())
     clock = clocks.ManualClock()
     controller = listing.ListingController(platform, Always(), view, 0.5, clock, counters)
@@ -74,11 +74,11 @@
     return [each for each in caplog.records if getattr(each, "event", 0) == event.value]
 
 
-def test_spoiled_entries_are_logged_once_a_change_and_counted_at_each_reading(
+def test_invalid_entries_are_logged_at_each_change_and_counted_at_each_reading(
     read, counters, caplog
 ):
     caplog.set_level(logging.INFO)
-    for spoiled in ((), (SPOILED,), (SPOILED,), (SPOILED, SPOILED), ()):
+    for spoiled in ((), (INVALID_ENTRY,), (INVALID_ENTRY,), (INVALID_ENTRY, INVALID_ENTRY), ()):
         read(lists.Reading((endpoint(1),), spoiled))
     lines = logged(caplog, events.Event.PLATFORM_ENTRIES_SPOILED)
     assert [(each.defect, each.entries) for each in lines] == [
@@ -89,14 +89,14 @@
     assert b'croftpulley_list_entries_spoiled_total{defect="field_type"} 4.0' in counters.render()
 
 
-def test_a_list_that_cannot_be_read_leaves_the_last_one_with_its_age(read, caplog):
+def test_a_failed_reading_keeps_the_last_list_and_logs_its_age(read, caplog):
     known = read(lists.Reading((endpoint(1),)))
     assert read(None) is known
     (line,) = logged(caplog, events.Event.PLATFORM_LIST_FAILED)
     assert line.kept_age_s == pytest.approx(0.6)
 
 
-def test_a_restart_under_the_same_id_is_another_life(read, caplog):
+def test_a_restart_under_the_same_id_is_a_new_incarnation(read, caplog):
     caplog.set_level(logging.INFO)
     first = read(lists.Reading((endpoint(1),))).endpoints
     second = read(lists.Reading((endpoint(2),))).endpoints
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(("asked_s", "waited_s"), [(2.0, 2.0), (0.1, 0.5), (3600.0, 5.0)])
-def test_a_list_that_asks_to_be_read_later_is_read_no_sooner(
+def test_the_wait_that_a_list_asks_for_is_observed_up_to_a_limit(
     read, platform, caplog, asked_s, waited_s
 ):
     read(lists.NotNowError("429", asked_s))
--- a/testing/controllers/test_permits.py
+++ b/testing/controllers/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits under threads: who waits is woken, and whoever leaves takes nothing along."""
+"""Permits with threads: queued requests are woken, and cancelled ones leak no permit."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from croftpulley.core import halls, membership, retry_budget, selection
 
 SLOTS = 4
-MOST = 5
-"""So many permits has a box alone before one endpoint: its slots, and a quarter more."""
+ALL_PERMITS = 5
+"""All permits of a single box for one endpoint: its slots, and a quarter more."""
 
 
 def endpoint(name="e", **changes):
@@ -25,7 +25,7 @@
 
 
 class Box:
-    """One box and what it knows."""
+    """One box with its permits, traffic counts and state."""
 
     def __init__(self):
         self.clock = clocks.SystemClock()
@@ -34,10 +34,10 @@
         )
         self.view = actors.View(router_state.RouterState())
         self.permits = permits.Permits("box", self.view, self.counts, self.clock)
-        self.know(endpoints=(endpoint(),), registered_boxes=1)
+        self.update_state(endpoints=(endpoint(),), registered_boxes=1)
 
-    def know(self, **changes):
-        """Have it hear of a change now."""
+    def update_state(self, **changes):
+        """Publish a changed state with loads as of now."""
         now_s = self.clock.monotonic_s()
         self.view.publish(attrs.evolve(self.view.get(), loads_at_s=now_s, **changes))
 
@@ -51,11 +51,11 @@
             token=cancel.CancelToken(),
         )
 
-    def take(self, count):
+    def take_permits(self, count):
         return [self.permits.take(self.request()) for _ in range(count)]
 
-    def waits(self, request, ended):
-        """Have a thread take a permit; it notes what it got."""
+    def start_waiting(self, request, ended):
+        """Have a thread ask for a permit; it appends the permit or the error to ``ended``."""
 
         def run():
             try:
@@ -75,20 +75,20 @@
     return Box()
 
 
-def test_a_box_alone_has_permits_for_all_the_room(box):
-    box.take(MOST)
+def test_a_single_box_has_permits_for_the_whole_capacity(box):
+    box.take_permits(ALL_PERMITS)
     with pytest.raises(permits.NoPermitError) as refused:
         box.permits.take(box.request(objective_s=0.01))
     assert refused.value.code is codes.ResultCode.NO_CAPACITY
-    assert box.permits.in_use() == {"llm": MOST}
+    assert box.permits.in_use() == {"llm": ALL_PERMITS}
     assert box.permits.waiting() == {}
 
 
-def test_what_is_given_back_goes_to_the_most_urgent_that_waits(box):
-    held = box.take(MOST)
+def test_a_released_permit_goes_to_the_most_urgent_queued_request(box):
+    held = box.take_permits(ALL_PERMITS)
     ended = []
     for urgency in (5, 0, 2):
-        box.waits(box.request(urgency), ended)
+        box.start_waiting(box.request(urgency), ended)
     for count, urgency in enumerate((0, 2, 5), 1):
         box.permits.give_back(held.pop())
         wait_until(lambda count=count: len(ended) == count, "it has a permit")
@@ -96,25 +96,25 @@
         assert ended[-1][1].waited_s > 0
 
 
-def test_a_caller_that_leaves_gets_no_permit_and_takes_none_along(box):
-    held = box.take(MOST)
+def test_a_cancelled_request_gets_no_permit_and_leaks_none(box):
+    held = box.take_permits(ALL_PERMITS)
     ended = []
     request = box.request()
-    box.waits(request, ended)
+    box.start_waiting(request, ended)
     request.token.cancel(codes.ResultCode.CALLER_GONE)
-    wait_until(lambda: ended, "it has left")
+    wait_until(lambda: ended, "it has been cancelled")
     assert ended[0][1].code is codes.ResultCode.CALLER_GONE
     for each in held:
         box.permits.give_back(each)
     assert box.permits.in_use() == {}
-    assert len(box.take(MOST)) == MOST
+    assert len(box.take_permits(ALL_PERMITS)) == ALL_PERMITS
 
 
-def test_room_that_a_renewal_brings_goes_to_who_waits(box):
-    box.take(MOST)
+def test_capacity_added_by_a_renewal_goes_to_queued_requests(box):
+    box.take_permits(ALL_PERMITS)
     ended = []
-    box.waits(box.request(), ended)
-    box.know(endpoints=(endpoint(), endpoint("f")))
+    box.start_waiting(box.request(), ended)
+    box.update_state(endpoints=(endpoint(), endpoint("f")))
     wait_until(lambda: ended, "it has a permit")
     assert isinstance(ended[0][1], permits.Permit)
 
@@ -130,40 +130,42 @@
         },
     ],
 )
-def test_endpoints_that_may_not_be_asked_are_no_room(box, change):
-    box.know(**change)
-    box.take(MOST)
+def test_unavailable_endpoints_do_not_count_as_capacity(box, change):
+    box.update_state(**change)
+    box.take_permits(ALL_PERMITS)
     with pytest.raises(permits.NoPermitError):
         box.permits.take(box.request(objective_s=0.01))
 
 
-def test_an_endpoint_that_this_box_alone_suspects_is_room_all_the_same(box):
+def test_an_endpoint_that_only_this_box_avoids_still_counts_as_capacity(box):
     box.counts.failed("e")
-    assert len(box.take(MOST)) == MOST
+    assert len(box.take_permits(ALL_PERMITS)) == ALL_PERMITS
 
 
-def test_without_loads_for_long_a_box_has_its_even_part(box):
-    box.know(registered_boxes=5, loads={"e": 50}, own_loads={"e": 40}, endpoints=(endpoint(),) * 1)
+def test_a_box_with_outdated_loads_has_an_even_share(box):
+    box.update_state(
+        registered_boxes=5, loads={"e": 50}, own_loads={"e": 40}, endpoints=(endpoint(),) * 1
+    )
     old_s = box.clock.monotonic_s() - 60.0
     box.view.publish(attrs.evolve(box.view.get(), loads_at_s=old_s))
-    box.take(1)
+    box.take_permits(1)
     with pytest.raises(permits.NoPermitError):
         box.permits.take(box.request(objective_s=0.01))
 
 
-def test_a_pool_without_an_endpoint_to_ask_is_not_waited_for(box):
-    box.know(endpoints=())
-    assert len(box.take(3 * MOST)) == 3 * MOST
+def test_requests_do_not_wait_for_a_pool_without_endpoints(box):
+    box.update_state(endpoints=())
+    assert len(box.take_permits(3 * ALL_PERMITS)) == 3 * ALL_PERMITS
 
 
-def test_boxes_that_have_lost_a_pool_leave_their_part_to_the_others(box):
-    box.know(registered_boxes=2, unreached={"llm": 1})
-    assert len(box.take(MOST)) == MOST
+def test_boxes_that_cannot_reach_a_pool_leave_their_share_to_the_others(box):
+    box.update_state(registered_boxes=2, unreached={"llm": 1})
+    assert len(box.take_permits(ALL_PERMITS)) == ALL_PERMITS
 
 
 def test_brittle_endpoints_have_no_queue(box):
     box.counts.hear_brittle(endpoint(), 3)
-    box.know()
-    assert len(box.take(SLOTS)) == SLOTS
+    box.update_state()
+    assert len(box.take_permits(SLOTS)) == SLOTS
     with pytest.raises(permits.NoPermitError):
         box.permits.take(box.request(objective_s=0.01))
