--- a/src/croftpulley/controllers/configured_pools.py
+++ b/src/croftpulley/controllers/configured_pools.py
@@ -10,6 +10,8 @@
 
 @attrs.frozen
 class _CachedPools:
+    """The pools of one version of the configuration."""
+
     version: int = 0
     pools: tuple[fleet.Pool, ...] = ()
 
--- a/src/croftpulley/controllers/gate.py
+++ b/src/croftpulley/controllers/gate.py
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class NotAdmitted:
-    """The reason, and the engine's load; -1 where this box does not own it or does not know."""
+    """The reason, and the engine's load, which is -1 if the refusal came before the load check."""
 
     code: codes.ResultCode
     load: int
@@ -41,6 +41,8 @@
 
 @attrs.define
 class _OwnedEngine:
+    """An engine that this box owns, with its request count and what it has announced."""
+
     ownership: membership.Ownership
     engine: membership.Endpoint
     load_wait_until_s: float
@@ -67,7 +69,7 @@
 
 
 class EngineGate:
-    """Admits requests to the engines that this box owns, by exact counts; safe for threads."""
+    """Admits requests to the engines that this box owns, by exact counts; thread-safe."""
 
     def __init__(self, box: str, clock: clocks.Clock, counters: metrics.Metrics) -> None:
         self._box = box
--- a/src/croftpulley/controllers/router_state.py
+++ b/src/croftpulley/controllers/router_state.py
@@ -111,9 +111,9 @@
         pool = self.tables.pools.get(endpoint.pool)
         if pool is None or not pool.cold_per_s:
             return None
-        told = self.cold.get(endpoint.key)
-        if told is not None:
-            return told if now_s < self.cold_at_s + send_quotas.QUOTA_TTL_S else 0
+        quota = self.cold.get(endpoint.key)
+        if quota is not None:
+            return quota if now_s < self.cold_at_s + send_quotas.QUOTA_TTL_S else 0
         returned_at_s = self.returned_at_s.get(endpoint.hall, float("-inf"))
         return 0 if now_s < returned_at_s + send_quotas.RETURNED_HALL_COLD_S else None
 
--- a/testing/controllers/test_inventory.py
+++ b/testing/controllers/test_inventory.py
@@ -17,7 +17,7 @@
 FAR_S = 1e9
 SILENT = "127.0.0.1:1"
 SILENCE_S = 5.0
-"""How long the silent engine blocks its reader; a test that ran into this would fail."""
+"""How long the silent engine blocks; `Caches.timed_out` is set if the test takes longer."""
 
 
 def engine(number, pool="llm"):
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -216,15 +216,17 @@
 
     def _inject_fault(self):
         box = self.rng.choice(self.boxes)
-        match self.rng.choice(("kill", "kill", "stand", "cut", "long", "leader", "join")):
+        match self.rng.choice(
+            ("kill", "kill", "pause", "disconnect", "disconnect_long", "leader", "join")
+        ):
             case "kill":
                 box.is_up = False
                 self.after(self.rng.choice((0.05, 0.3, 5.0)), box.begin_incarnation)
-            case "stand":
+            case "pause":
                 box.paused_until_s = self.now_s + self.rng.uniform(0.1, 3.0)
-            case "cut":
+            case "disconnect":
                 box.disconnected_until_s = self.now_s + self.rng.uniform(0.1, 2.0)
-            case "long":
+            case "disconnect_long":
                 box.disconnected_until_s = self.now_s + 6.0
             case "leader":
                 self.new_leader()
