--- a/src/croftpulley/dispatch/__init__.py
+++ b/src/croftpulley/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Carrying out one attempt at one engine: by this box if it owns the engine, else by the owner."""
+"""Runs one attempt at one engine: in this box if it owns the engine, else in the owner."""
--- a/src/croftpulley/dispatch/local.py
+++ b/src/croftpulley/dispatch/local.py
@@ -18,7 +18,10 @@
 
 
 class NotAdmittedError(errors.CroftpulleyError):
-    """The engine's owner did not admit the request; ``load`` is what the engine holds, or -1."""
+    """The engine's owner did not admit the request.
+
+    ``load`` is the number of requests at the engine, or -1 if unknown.
+    """
 
     def __init__(self, code: codes.ResultCode, load: int) -> None:
         super().__init__(code)
@@ -26,12 +29,12 @@
 
 
 class LocalDispatcher:
-    """Admits at the gate, runs the attempt, and counts it out at its end."""
+    """Admits an attempt at the gate, runs it, and releases it at the gate when it ends."""
 
     def __init__(self, engine_gate: gate.EngineGate, client: base.EngineClient) -> None:
         self._gate = engine_gate
         self._client = client
-        # Cancel orders must not hold up the final answer to a caller.
+        # Own threads, so that cancel requests don't delay the response to a caller.
         self._cancels = futures.ThreadPoolExecutor(_CANCEL_THREADS, "cancel")
 
     def start(
@@ -56,14 +59,17 @@
         return LocalAttempt(self, order, address, attempt, stream)
 
     def end(self, order: messages.DispatchOrder, address: str, attempt: attempts.Attempt) -> None:
-        """Count an attempt out, once the engine has stopped working on it."""
+        """Release an attempt at the gate; if the engine may still run it, cancel it there first.
+
+        The cancel request and the release then happen in another thread.
+        """
         if attempt.phase in (attempts.Phase.SENT, attempts.Phase.ANSWERING):
             self._cancels.submit(self._cancel_then_leave, order, address)
         else:
             self._gate.leave(order.engine, order.epoch)
 
     def stop(self) -> None:
-        """Wait for the cancel orders under way."""
+        """Wait for pending cancel requests."""
         self._cancels.shutdown()
 
     def _cancel_then_leave(self, order: messages.DispatchOrder, address: str) -> None:
@@ -82,7 +88,7 @@
 
 
 class LocalAttempt(base.EngineStream):
-    """The engine's stream, counted out when it is closed."""
+    """An engine's stream; closing it also releases the attempt at the gate."""
 
     def __init__(
         self,
@@ -108,7 +114,7 @@
         self._stream.shutdown()
 
     def close(self) -> None:
-        """Close the stream and count it out; a second call does nothing."""
+        """Close the stream and release the attempt; a second call does nothing."""
         if self._closed:
             return
         self._closed = True
--- a/src/croftpulley/dispatch/remote.py
+++ b/src/croftpulley/dispatch/remote.py
@@ -1,4 +1,4 @@
-"""Attempts at engines that another box owns: one hop to the owner."""
+"""Attempts at engines that another box owns, forwarded to that box."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RemoteDispatcher:
-    """Asks an engine's owner to carry out an attempt."""
+    """Forwards an attempt to the engine's owner."""
 
     def __init__(
         self, connect_timeout_s: float, silence_timeout_s: float, counters: metrics.Metrics
@@ -32,17 +32,17 @@
         attempt: attempts.Attempt,
         token: cancel.CancelToken,
     ) -> base.EngineStream:
-        """Start an attempt; raises `local.NotAdmittedError` or PEER_LOST.
+        """Start an attempt.
 
-        Nothing is sent before the connection stands, so that an owner that is gone is known not
-        to have run anything.
+        Raises `local.NotAdmittedError`, or `errors.CroftpulleyError` (PEER_LOST). Nothing is sent
+        before the connection is established, so an unreachable owner is known to have run nothing.
         """
-        exchange = self._exchange(peer_address, attempt, token)
+        exchange = self._new_exchange(peer_address, attempt, token)
         body = wire.encode_order(order)
         self._counters.control_bytes("Dispatch", len(body), 0)
         stream = RemoteAttempt(exchange, attempt, token)
         try:
-            # The owner's headers say nothing of the engine: the attempt stays sent.
+            # The owner's headers say nothing about the engine, so the phase stays SENT.
             exchange.begin(connection.HttpRequest("POST", wire.PATH, body), attempts.Phase.SENT)
             stream.await_admission()
         except BaseException:
@@ -50,7 +50,7 @@
             raise
         return stream
 
-    def _exchange(
+    def _new_exchange(
         self, peer_address: str, attempt: attempts.Attempt, token: cancel.CancelToken
     ) -> connection.Exchange:
         target = connection.Target(peer_address, self._connect_timeout_s, self._silence_timeout_s)
@@ -58,7 +58,7 @@
 
 
 class RemoteAttempt(base.EngineStream):
-    """An attempt that another box carries out."""
+    """An attempt that another box runs."""
 
     def __init__(
         self,
@@ -71,14 +71,17 @@
         self._attempt = attempt
         self._reader = event_stream.EventReader(exchange, wire.parse_event)
         self._batches = self._reader.batches()
-        self._first: tuple[messages.DispatchEvent, ...] = ()
+        self._first_batch: tuple[messages.DispatchEvent, ...] = ()
 
     def await_admission(self) -> None:
-        """Wait for the owner's word; raises `local.NotAdmittedError` if it refuses."""
+        """Wait until the owner accepts; raises `local.NotAdmittedError` if it refuses.
+
+        Raises `errors.CroftpulleyError` for any other response.
+        """
         batch = next(self._batches, ())
         match batch[:1]:
             case (messages.Accepted(),):
-                self._first = batch[1:]
+                self._first_batch = batch[1:]
                 return
             case (messages.Refused(code, load),):
                 self._attempt.set_reported_phase(attempts.Phase.REFUSED)
@@ -86,8 +89,8 @@
         raise self._exchange.failed(EOFError("the owner answered neither yes nor no"))
 
     def batches(self) -> Iterator[base.EventBatch]:
-        """Yield the engine's events as the owner passes them on."""
-        for batch in itertools.chain([self._first], self._batches):
+        """Yield the engine's events as the owner relays them."""
+        for batch in itertools.chain([self._first_batch], self._batches):
             answer = tuple(each for each in batch if isinstance(each, _ANSWER_EVENTS))
             if answer:
                 done = isinstance(answer[-1], messages.Finished)
@@ -97,7 +100,7 @@
                 yield answer
                 if done:
                     return
-            self._check_broken(batch)
+            self._raise_if_broken(batch)
         raise self._exchange.failed(EOFError("the owner's stream ended before its end event"))
 
     def shutdown(self) -> None:
@@ -105,11 +108,11 @@
         self._exchange.shutdown()
 
     def close(self) -> None:
-        """Close the connection, which cancels what is still under way."""
+        """Close the connection, which makes the owner cancel an unfinished attempt."""
         self._exchange.close()
 
-    def _check_broken(self, batch: tuple[messages.DispatchEvent, ...]) -> None:
-        """Raise what the owner says of an attempt that broke off."""
+    def _raise_if_broken(self, batch: tuple[messages.DispatchEvent, ...]) -> None:
+        """Raise `errors.CroftpulleyError` if the owner reports that the attempt broke off."""
         for event in batch:
             if isinstance(event, messages.Broken):
                 self._attempt.set_reported_phase(event.phase)
--- a/src/croftpulley/dispatch/wire.py
+++ b/src/croftpulley/dispatch/wire.py
@@ -1,6 +1,6 @@
-"""How a dispatch order and its events travel between two boxes: JSON over HTTP.
+"""Encoding of dispatch orders and their events between boxes: JSON over HTTP.
 
-The events are those of an engine's stream, and three more: ``{"accepted": true}``,
+The events are those of an engine's stream, plus three: ``{"accepted": true}``,
 ``{"refused": {"code": 31, "load": 5}}`` and ``{"broken": {"code": 51, "phase": 3}}``.
 Why not gRPC: see ``docs/design/003-hop-between-boxes.md``.
 """
@@ -25,7 +25,7 @@
 
 
 def encode_order(order: messages.DispatchOrder) -> bytes:
-    """Encode an order."""
+    """Encode an order as JSON."""
     return orjson.dumps(_CONVERTER.unstructure(order))
 
 
@@ -40,7 +40,7 @@
 
 
 def encode_event(event: messages.DispatchEvent) -> bytes:
-    """Encode an event."""
+    """Encode an event as a server-sent event."""
     return event_stream.encode(_document(event))
 
 
@@ -59,7 +59,7 @@
 
 
 def parse_event(fields: dict[str, Any]) -> messages.DispatchEvent:
-    """Read an event; raises `ValueError`, `KeyError` or `TypeError`."""
+    """Parse an event; raises `ValueError`, `KeyError` or `TypeError`."""
     if "accepted" in fields:
         return messages.Accepted()
     if "refused" in fields:
--- a/src/croftpulley/endpoints/__init__.py
+++ b/src/croftpulley/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what the fleet serves and of the platform, behind abstract base classes."""
+"""Clients for engines, workers and the platform, behind abstract base classes."""
--- a/src/croftpulley/endpoints/base.py
+++ b/src/croftpulley/endpoints/base.py
@@ -1,4 +1,4 @@
-"""What the fleet needs of engines, workers and the platform's list, whatever their protocol."""
+"""Protocol-independent interfaces of engines and workers."""
 
 from __future__ import annotations
 
@@ -12,33 +12,36 @@
 from croftpulley.transport import messages
 
 EventBatch = tuple[messages.StreamEvent, ...]
-"""Events of an answer that arrived together."""
+"""Events of a response that arrived together."""
 
 
 @attrs.frozen
 class LoadReport:
-    """What an engine says of itself, late as it may be."""
+    """The load that an engine reports, which may be out of date: running requests and slots."""
 
     running: int
     slots: int
 
 
 class EngineRefusalError(errors.CroftpulleyError):
-    """An engine's answer that is no stream, with what it says of the engine."""
+    """An engine's response that is no stream, with the notice in its headers."""
 
     notice: withdrawal.Notice = withdrawal.EMPTY_NOTICE
 
 
 class EngineStream(abc.ABC):
-    """The answer of one attempt as it arrives; ``notice`` is what its head says of the engine."""
+    """The response of one attempt as it arrives.
+
+    ``notice`` is what the response headers announce about the engine.
+    """
 
     notice: withdrawal.Notice = withdrawal.EMPTY_NOTICE
 
     @abc.abstractmethod
     def batches(self) -> Iterator[EventBatch]:
-        """Yield events as they arrive, up to and with `messages.Finished`.
+        """Yield events as they arrive, up to and including `messages.Finished`.
 
-        Raises `errors.CroftpulleyError` when the answer breaks off.
+        Raises `errors.CroftpulleyError` when the response breaks off.
         """
 
     @abc.abstractmethod
@@ -47,11 +50,11 @@
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Free the connection."""
+        """Close the connection."""
 
 
 class EngineClient(abc.ABC):
-    """Speaks to model engines."""
+    """A client for model engines."""
 
     @abc.abstractmethod
     def start(
@@ -61,19 +64,19 @@
         attempt: attempts.Attempt,
         token: cancel.CancelToken,
     ) -> EngineStream:
-        """Send the request and return its answer once that has begun.
+        """Send the request and return the response stream once it has begun.
 
-        Moves ``attempt`` on as it goes. Raises `errors.CroftpulleyError`, `EngineRefusalError` for
-        an answer that is none.
+        Updates the phase of ``attempt``. Raises `errors.CroftpulleyError`, and
+        `EngineRefusalError` for a response that is no stream.
         """
 
     @abc.abstractmethod
     def cancel(self, address: str, request_id: str, attempt: int) -> None:
-        """Order an attempt's work to stop; raises `errors.CroftpulleyError`."""
+        """Tell the engine to stop an attempt; raises `errors.CroftpulleyError`."""
 
     @abc.abstractmethod
     def load(self, address: str) -> LoadReport:
-        """Read the load report; raises `errors.CroftpulleyError`."""
+        """Fetch the engine's load report; raises `errors.CroftpulleyError`."""
 
 
 @attrs.frozen
@@ -90,7 +93,7 @@
 
 @attrs.frozen
 class WorkerAnswer:
-    """A worker's whole answer."""
+    """A worker's complete response."""
 
     http_status: int
     content_type: str
@@ -98,7 +101,7 @@
 
 
 class WorkerClient(abc.ABC):
-    """Speaks to workers of plain services."""
+    """A client for workers of plain services."""
 
     @abc.abstractmethod
     def call(
@@ -109,7 +112,7 @@
         token: cancel.CancelToken,
         timeout_s: float,
     ) -> WorkerAnswer:
-        """Send a call and return the whole answer; moves ``attempt`` on.
+        """Send a call and return the complete response; updates the phase of ``attempt``.
 
         Raises `errors.CroftpulleyError`.
         """
--- a/src/croftpulley/endpoints/caches.py
+++ b/src/croftpulley/endpoints/caches.py
@@ -1,4 +1,4 @@
-"""Reading which parts of prompts an engine keeps."""
+"""Reading which prompt parts an engine has in its cache."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 @attrs.frozen
 class KeptPart:
-    """A part of a prompt that an engine keeps, and how many tokens of it."""
+    """A prompt part in an engine's cache, and how many of its tokens are cached."""
 
     part: str
     tokens: int
 
 
 class CacheReader(abc.ABC):
-    """Reads what one engine keeps."""
+    """Reads the cached prompt parts of an engine."""
 
     @abc.abstractmethod
     def read(self, engine: membership.Endpoint) -> tuple[KeptPart, ...]:
-        """Read the kept parts of an engine.
+        """Return the prompt parts in the engine's cache.
 
-        Raises `errors.CroftpulleyError`, also where another life of it answers.
+        Raises `errors.CroftpulleyError`, also if another incarnation of the engine answers.
         """
 
 
 class NoCaches(CacheReader):
-    """For interfaces whose engines do not tell what they keep."""
+    """For interfaces whose engines do not report their cache."""
 
     def read(self, engine: membership.Endpoint) -> tuple[KeptPart, ...]:
         """Return nothing."""
--- a/src/croftpulley/endpoints/connection.py
+++ b/src/croftpulley/endpoints/connection.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange with an endpoint over a connection of its own, tracking how far it got.
+"""One HTTP exchange with an endpoint over its own connection, with the phase it has reached.
 
-Each exchange has a fresh connection: a connection kept alive may be closed by the other side at
-the very moment that a request is sent on it, and then nobody can tell whether it ran. The
-library's retries are not used for the same reason.
+Each exchange opens a new connection: a persistent connection may be closed by the peer just as a
+request is sent on it, and then it is unknown whether the request ran. The library's retries are
+not used for the same reason.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
     urllib3.exceptions.HTTPError,
     ValueError,
 )
-"""What can go wrong on a connection, a malformed answer among it."""
+"""Errors of a connection, including those for a malformed response."""
 
 
-_DROP_AT_CLOSE = struct.pack("ii", 1, 0)
-"""Lingering for no time: a close resets the connection, and what was not received is dropped."""
-_DELIVER_AFTER_CLOSE = struct.pack("ii", 0, 0)
-"""As sockets begin: a close lets the system deliver the rest."""
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""SO_LINGER with timeout 0: a close resets the connection and drops undelivered data."""
+_FLUSH_AFTER_CLOSE = struct.pack("ii", 0, 0)
+"""SO_LINGER off, the default: after a close the system still delivers pending data."""
 _BLOCK_SIZE_BYTES = 8192
-"""A longer body is sent in blocks of this size, between which an early answer is noticed."""
+"""A longer body is sent in blocks of this size, with a check for an early response between."""
 
 
-class _AnsweredEarlyError(Exception):
-    """The other side answers before it has the whole request."""
+class _EarlyResponseError(Exception):
+    """The peer responds before it has received the whole request."""
 
 
 @attrs.frozen
 class Target:
-    """Where to connect, and how long to wait for the connection and between bytes.
+    """An address, and the timeouts for connecting and between bytes.
 
-    With an ``arrival_limit_s`` the connection ends if what was sent is not received within that.
-    Where it ``asks_alive`` the system asks the other side each second of silence whether it is
-    there, and ends the connection after as long as the ``arrival_limit_s`` without an answer.
+    With an ``ack_timeout_s`` the connection fails if sent data is not acknowledged within that
+    time (TCP_USER_TIMEOUT). With ``uses_keepalive`` the system sends a TCP keepalive probe after
+    each idle second, and the connection fails after ``ack_timeout_s`` without a reply.
     """
 
     address: str
@@ -61,15 +61,15 @@
 
 
 def do_nothing() -> None:
-    """Stand where nobody wants to know when a request leaves."""
+    """Do nothing; the default callback for a request that is sent."""
 
 
 @attrs.frozen
 class HttpRequest:
-    """What to send; a ``content_type`` of ``None`` adds no header at all to ``extra_headers``.
+    """A request to send; with a ``content_type`` of ``None`` only ``extra_headers`` are sent.
 
-    ``on_leaving`` is called just before the first byte leaves and again when all have left. What
-    it raises at the first call ends the exchange, of which nothing has left.
+    ``on_send`` is called just before the first byte is sent and again after the last one. An
+    exception from the first call ends the exchange before anything is sent.
     """
 
     method: str
@@ -80,7 +80,7 @@
     on_leaving: Callable[[], None] = do_nothing
 
     def headers(self) -> dict[str, str]:
-        """Return all headers but those of the transfer itself."""
+        """Return all headers except those for the transfer, such as the body's length."""
         if self.content_type is not None:
             return {"Content-Type": self.content_type, **self.extra_headers}
         unset = {name.lower() for name in self.extra_headers}
@@ -106,7 +106,7 @@
 
 
 class Exchange:
-    """One request and its answer."""
+    """One request and its response, on one connection."""
 
     def __init__(
         self,
@@ -126,16 +126,16 @@
             host, int(port), timeout=target.connect_timeout_s
         )
         self._sock: socket.socket | None = None
-        """The connection's own, which the library lets go of while its answer is still read."""
+        """The connection's socket; the library drops its reference while the response is read."""
         self.response: urllib3.HTTPResponse | None = None
 
     def begin(
         self, request: HttpRequest, on_headers: attempts.Phase = attempts.Phase.ANSWERING
     ) -> urllib3.HTTPResponse:
-        """Connect, send the request and return the answer once its headers are there.
+        """Connect, send the request and return the response once its headers have arrived.
 
-        The attempt is `Phase.SENT` before the first byte leaves and ``on_headers`` when the
-        headers have come. Raises `errors.CroftpulleyError`.
+        The attempt enters `Phase.SENT` before the first byte is sent, and ``on_headers`` when the
+        headers have arrived. Raises `errors.CroftpulleyError`.
         """
         try:
             self._token.check()
@@ -147,40 +147,40 @@
             if on_headers is not self._attempt.phase:
                 self._attempt.enter(on_headers)
             self._attempt.status = response.status
-            self._attempt.is_end_ambiguous = _ends_with_connection(response)
+            self._attempt.is_end_ambiguous = _is_delimited_by_close(response)
             return response
         except TRANSPORT_ERRORS as failure:
             raise self.failed(failure) from failure
 
     def _send(self, request: HttpRequest) -> urllib3.HTTPResponse:
-        _limit_silence(self._connection.sock, self._target.silence_timeout_s)
+        _set_io_timeouts(self._connection.sock, self._target.silence_timeout_s)
         if self._target.arrival_limit_s is not None:
-            _limit_arrival(self._connection.sock, self._target.arrival_limit_s)
+            _set_ack_timeout(self._connection.sock, self._target.arrival_limit_s)
         if self._target.asks_alive:
-            _ask_alive(self._connection.sock)
-        # Without an answer the request may be sent elsewhere. After an ordinary close the system
-        # would go on trying to deliver it here as well, and succeed once a cut link is back.
-        _linger(self._connection.sock, _DROP_AT_CLOSE)
-        # The library sets this on the socket once more before it reads.
+            _enable_keepalive(self._connection.sock)
+        # Without a response the request may be retried at another endpoint. After an ordinary close
+        # the system would keep retransmitting it, and deliver it here too once a cut link is back.
+        _set_linger(self._connection.sock, _RESET_ON_CLOSE)
+        # The library sets this timeout on the socket again before it reads.
         self._connection.timeout = None
-        # Twice: the process may stand still in between, and the bytes leave after that.
+        # Called twice: the process may be paused in between, and the bytes are sent after that.
         request.on_leaving()
         self._attempt.enter(attempts.Phase.SENT)
         self._send_request(request)
         request.on_leaving()
         sock = self._connection.sock
         response = self._connection.getresponse()
-        _linger(sock, _DELIVER_AFTER_CLOSE)
+        _set_linger(sock, _FLUSH_AFTER_CLOSE)
         self.response = response
         return response
 
     def _send_request(self, request: HttpRequest) -> None:
-        """Send the request, or as much of a long body as the other side reads before it answers."""
+        """Send the request; stop sending a long body when the peer responds early."""
         headers = request.headers()
         body: bytes | Iterator[bytes] | None = request.body
         if request.body is not None and len(request.body) > _BLOCK_SIZE_BYTES:
             headers["Content-Length"] = str(len(request.body))
-            body = self._blocks(request.body)
+            body = self._body_blocks(request.body)
         try:
             self._connection.request(
                 request.method,
@@ -190,34 +190,37 @@
                 preload_content=False,
                 decode_content=False,
             )
-        except (_AnsweredEarlyError, BrokenPipeError, ConnectionResetError):
-            # The answer may be there although the request was not read to its end; if it is not,
-            # reading it fails.
+        except (_EarlyResponseError, BrokenPipeError, ConnectionResetError):
+            # The response may have arrived although the request was not read to its end. If it has
+            # not, reading it fails.
             return
 
-    def _blocks(self, body: bytes) -> Iterator[bytes]:
-        """Yield a body in blocks until the other side has something to say."""
+    def _body_blocks(self, body: bytes) -> Iterator[bytes]:
+        """Yield a body in blocks; raises `_EarlyResponseError` when the peer sends something."""
         waiter = select.poll()
         waiter.register(self._connection.sock, select.POLLIN | select.POLLOUT)
         for start in range(0, len(body), _BLOCK_SIZE_BYTES):
             if any(event & select.POLLIN for _, event in waiter.poll()):
-                raise _AnsweredEarlyError
+                raise _EarlyResponseError
             yield body[start : start + _BLOCK_SIZE_BYTES]
 
     def read(self, size_bytes: int) -> bytes:
-        """Return what has arrived of the answer, waiting for some; empty at its end.
+        """Return received bytes of the response body, waiting for some; empty at its end.
 
         Raises `errors.CroftpulleyError`.
         """
         if self.response is None:
-            raise RuntimeError("the answer has not begun")
+            raise RuntimeError("read() called before begin() has returned a response")
         try:
             return self.response.read1(size_bytes)
         except TRANSPORT_ERRORS as failure:
             raise self.failed(failure) from failure
 
     def failed(self, failure: Exception) -> errors.CroftpulleyError:
-        """Make the error for a failed exchange from the attempt's phase, or a cancel's reason."""
+        """Return the error for a failed exchange and mark the attempt's end as ambiguous.
+
+        Its code is the reason of a cancellation, else follows from the attempt's phase.
+        """
         self._attempt.is_end_ambiguous = True
         unsent = self._attempt.phase is attempts.Phase.UNSENT
         code = self._failures.unreachable if unsent else self._failures.broke
@@ -234,7 +237,7 @@
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # Ended or closed by its own thread in the meantime: nothing is left to end.
+            # Shut down by the peer or closed by its own thread in the meantime.
             return
 
     def close(self) -> None:
@@ -245,36 +248,36 @@
         self._connection.close()
 
 
-def _ends_with_connection(response: urllib3.HTTPResponse) -> bool:
-    """Tell whether nothing but the connection's end says that an answer is whole."""
+def _is_delimited_by_close(response: urllib3.HTTPResponse) -> bool:
+    """Tell whether only the end of the connection marks the end of the response."""
     return not response.chunked and response.length_remaining is None
 
 
-def _limit_silence(sock: socket.socket, silence_s: float) -> None:
-    """Have the system end a read or write that waits too long; the read then gives nothing.
+def _set_io_timeouts(sock: socket.socket, timeout_s: float) -> None:
+    """Set the system's timeouts for reads and writes; a read that times out returns no data.
 
-    Python's own socket timeout polls before each read, and so passes the interpreter lock twice a
-    chunk instead of once (``docs/design/005-streams-and-threads.md``).
+    Python's own socket timeout polls before each read, and so releases the interpreter lock twice
+    per chunk instead of once (``docs/design/005-streams-and-threads.md``).
     """
-    whole_s = int(silence_s)
-    limit = struct.pack("ll", whole_s, int((silence_s - whole_s) * 1_000_000))
+    whole_s = int(timeout_s)
+    limit = struct.pack("ll", whole_s, int((timeout_s - whole_s) * 1_000_000))
     sock.settimeout(None)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, limit)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, limit)
 
 
-def _linger(sock: socket.socket, option: bytes) -> None:
+def _set_linger(sock: socket.socket, option: bytes) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
 
 
-def _limit_arrival(sock: socket.socket, limit_s: float) -> None:
-    """Have the system end the connection if what was sent is not acknowledged in time."""
-    limit_ms = max(1, int(limit_s * 1000))
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
+def _set_ack_timeout(sock: socket.socket, timeout_s: float) -> None:
+    """Make the connection fail if sent data is not acknowledged in time."""
+    timeout_ms = max(1, int(timeout_s * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
 
-def _ask_alive(sock: socket.socket) -> None:
-    """Have the system ask whether the other side is there while nothing comes."""
+def _enable_keepalive(sock: socket.socket) -> None:
+    """Make the system probe the peer after each second without data."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -288,9 +291,9 @@
     token: cancel.CancelToken | None = None,
     dialer: dialing.Dialer = dialing.DIRECT,
 ) -> tuple[urllib3.HTTPResponse, bytes]:
-    """Make a whole exchange and return the answer and its body.
+    """Send a request and return the response and its complete body.
 
-    Raises `errors.CroftpulleyError`, also when the body is shorter than the answer's length.
+    Raises `errors.CroftpulleyError`, also when the body is shorter than the response announces.
     """
     attempt = attempt or attempts.Attempt(1, target.address)
     exchange = Exchange(target, attempt, token or cancel.CancelToken(), failures, dialer)
--- a/src/croftpulley/endpoints/dialing.py
+++ b/src/croftpulley/endpoints/dialing.py
@@ -1,4 +1,4 @@
-"""Making connections to endpoints, and whether anybody listens at their addresses."""
+"""Connecting to endpoints, and probing whether a process listens at their addresses."""
 
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 
 import urllib3.connection
 
-Tried = TypeVar("Tried")
+Item = TypeVar("Item")
 
 
 class Dialer(abc.ABC):
-    """The links of this box to endpoints."""
+    """Opens this box's connections to endpoints."""
 
     @abc.abstractmethod
     def dial(self, connection: urllib3.connection.HTTPConnection) -> None:
-        """Make a connection within its timeout; raises as the library does."""
+        """Connect within the connection's timeout; raises urllib3's exceptions."""
 
     @abc.abstractmethod
     def listens(self, address: str, timeout_s: float) -> bool | None:
-        """Connect and close; return ``None`` where nothing comes back, which tells nothing.
+        """Probe an address by connecting and closing.
 
-        A process that has ended leaves nobody who listens. One that is frozen, busy or behind a cut
-        link refuses no connection.
+        Return ``False`` if the connection is refused: the process has ended. Any other failure
+        gives ``None``, unknown: a process that is frozen, busy or behind a cut link refuses no
+        connection.
         """
 
     def first_to_listen(self, addresses: Sequence[str], timeout_s: float) -> str | None:
-        """Try addresses all at once; return the first where somebody listens, if any does."""
+        """Probe all addresses at once; return the first at which a process listens, if any."""
         return first_that(lambda address: bool(self.listens(address, timeout_s)), addresses)
 
 
 class DirectDialer(Dialer):
-    """Connects straight to addresses."""
+    """Connects directly to addresses."""
 
     def dial(self, connection: urllib3.connection.HTTPConnection) -> None:
-        """Make a connection."""
+        """Connect."""
         connection.connect()
 
     def listens(self, address: str, timeout_s: float) -> bool | None:
-        """Connect and close."""
+        """Probe an address by connecting and closing."""
         host, _, port = address.rpartition(":")
         try:
             socket.create_connection((host, int(port)), timeout_s).close()
@@ -56,14 +57,17 @@
 DIRECT = DirectDialer()
 
 
-def first_that(holds: Callable[[Tried], bool], tried: Sequence[Tried]) -> Tried | None:
-    """Try all at once, each in a thread; return the first for which ``holds``, if any."""
-    found: queue.SimpleQueue[Tried | None] = queue.SimpleQueue()
+def first_that(predicate: Callable[[Item], bool], items: Sequence[Item]) -> Item | None:
+    """Evaluate all items at once, each in a thread; return the first that matches, if any.
 
-    def look(each: Tried) -> None:
-        found.put(each if holds(each) else None)
+    Waits for the others only until one matches.
+    """
+    results: queue.SimpleQueue[Item | None] = queue.SimpleQueue()
 
-    for each in tried:
-        threading.Thread(target=look, args=(each,), name="look", daemon=True).start()
-    answers = (found.get() for _ in tried)
+    def evaluate(each: Item) -> None:
+        results.put(each if predicate(each) else None)
+
+    for each in items:
+        threading.Thread(target=evaluate, args=(each,), name="look", daemon=True).start()
+    answers = (results.get() for _ in items)
     return next((each for each in answers if each is not None), None)
--- a/src/croftpulley/endpoints/event_stream.py
+++ b/src/croftpulley/endpoints/event_stream.py
@@ -1,4 +1,4 @@
-"""Reading of a server-sent event stream as it arrives, in batches of whole events."""
+"""Reads a server-sent event stream as it arrives, in batches of complete events."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class EventReader(Generic[T]):
-    """Reads events from an exchange whose answer has begun."""
+    """Reads events from an exchange whose response has begun."""
 
     def __init__(self, exchange: connection.Exchange, parse: Callable[[dict[str, Any]], T]) -> None:
         self._exchange = exchange
         self._parse = parse
-        self._rest = b""
+        self._incomplete = b""
 
     def batches(self) -> Iterator[tuple[T, ...]]:
-        """Yield the whole events of each read, until the stream ends.
+        """Yield the complete events of each read, until the stream ends.
 
         Raises `errors.CroftpulleyError` when the connection breaks or an event is malformed.
         """
         while data := self._exchange.read(_READ_SIZE_BYTES):
-            *events, self._rest = (self._rest + data).split(_EVENT_END)
-            if len(self._rest) > _EVENT_LIMIT_BYTES:
+            *events, self._incomplete = (self._incomplete + data).split(_EVENT_END)
+            if len(self._incomplete) > _EVENT_LIMIT_BYTES:
                 raise self._exchange.failed(ValueError("an event is larger than the limit"))
             if events:
                 yield tuple(self._decode(event) for event in events)
@@ -46,12 +46,12 @@
 
 
 def encode(document: Any) -> bytes:
-    """Return one event."""
+    """Encode a document as one server-sent event."""
     return b"data: %b\n\n" % orjson.dumps(document)
 
 
 def parse(fields: dict[str, Any]) -> messages.StreamEvent:
-    """Read a text or end event; raises `ValueError`, `KeyError` or `TypeError`."""
+    """Parse a text or end event; raises `ValueError`, `KeyError` or `TypeError`."""
     if "text" in fields:
         return assembly.Chunk(count(fields["offset"]), text(fields["text"]))
     end = fields["end"]
@@ -65,14 +65,14 @@
 
 
 def count(value: Any) -> int:
-    """Return a count that is one; raises `ValueError`."""
+    """Return a value that is a non-negative integer; raises `ValueError` for any other."""
     if type(value) is not int or value < 0:
         raise ValueError(f"got {value!r}, expected a count")
     return value
 
 
 def text(value: Any) -> str:
-    """Return a text that is one; raises `ValueError`."""
+    """Return a value that is a string; raises `ValueError` for any other."""
     if type(value) is not str:
         raise ValueError(f"got {value!r}, expected text")
     return value
--- a/src/croftpulley/endpoints/http_engine.py
+++ b/src/croftpulley/endpoints/http_engine.py
@@ -1,10 +1,10 @@
-"""The HTTP form of an engine: an event stream whose chunks carry offsets.
+"""The HTTP protocol of engines: an event stream whose chunks carry offsets.
 
 ``POST /v1/generate`` with the body of `request_body` answers with server-sent events, each a JSON
 object: ``{"offset": 0, "text": "…"}`` for text and ``{"end": {…}}`` at the end.
-``POST /v1/cancel`` stops an attempt; ``GET /v1/load`` gives the load report. The status 503 says
-that nothing ran; with ``Retry-After`` the engine wants no orders from this box for so many seconds.
-``X-Leaving: 1`` in any answer says that it leaves.
+``POST /v1/cancel`` stops an attempt; ``GET /v1/load`` returns the load report. Status 503 means
+that nothing ran; with ``Retry-After`` the engine asks this box to send it no requests for so many
+seconds. ``X-Leaving: 1`` in any response announces that the engine shuts down.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from croftpulley.transport import messages
 
 _NOT_RUN_STATUS = 503
-"""The status with which an engine says that it did not take the request."""
+"""The status with which an engine rejects a request without having run it."""
 
 
 def request_body(order: messages.DispatchOrder) -> bytes:
-    """Return the body that asks an engine to generate."""
+    """Return the body of a generate request."""
     return orjson.dumps(
         {
             "request_id": order.request_id,
@@ -66,7 +66,7 @@
         raise self._exchange.failed(EOFError("the stream ended before its end event"))
 
     def shutdown(self) -> None:
-        """End the read of another thread."""
+        """End `batches` from another thread."""
         self._exchange.shutdown()
 
     def close(self) -> None:
@@ -75,7 +75,7 @@
 
 
 class HttpEngineClient(base.EngineClient):
-    """Speaks to engines over HTTP."""
+    """A client for engines over HTTP."""
 
     def __init__(self, connect_timeout_s: float, silence_timeout_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
@@ -88,7 +88,7 @@
         attempt: attempts.Attempt,
         token: cancel.CancelToken,
     ) -> HttpEngineStream:
-        """Send the request and return its answer once the headers are there."""
+        """Send the request and return the response stream once the headers have arrived."""
         exchange = connection.Exchange(
             self._target(address), attempt, token, connection.ENGINE_FAILURES
         )
@@ -105,13 +105,13 @@
         return HttpEngineStream(exchange, attempt, notice)
 
     def cancel(self, address: str, request_id: str, attempt: int) -> None:
-        """Order an attempt's work to stop."""
+        """Tell the engine to stop an attempt."""
         body = orjson.dumps({"request_id": request_id, "attempt": attempt})
         request = connection.HttpRequest("POST", "/v1/cancel", body)
         connection.whole(self._target(address), request, connection.ENGINE_FAILURES)
 
     def load(self, address: str) -> base.LoadReport:
-        """Read the load report."""
+        """Fetch the engine's load report."""
         request = connection.HttpRequest("GET", "/v1/load")
         _, body = connection.whole(self._target(address), request, connection.ENGINE_FAILURES)
         try:
@@ -129,7 +129,7 @@
 
 
 def _notice(response: urllib3.HTTPResponse) -> withdrawal.Notice:
-    """Return what an answer's head says of its engine."""
+    """Return what the response headers announce about the engine."""
     headers = response.headers
     return withdrawal.parse_notice(
         response.status,
@@ -143,7 +143,7 @@
 def _refusal(
     address: str, status: int, notice: withdrawal.Notice, attempt: attempts.Attempt
 ) -> base.EngineRefusalError:
-    """Make the error for an answer that is no stream; 503 says that nothing ran."""
+    """Return the error for a response that is no stream; status 503 means that nothing ran."""
     if status == _NOT_RUN_STATUS:
         attempt.enter(attempts.Phase.REFUSED)
     refusal = base.EngineRefusalError(
--- a/src/croftpulley/endpoints/http_platform.py
+++ b/src/croftpulley/endpoints/http_platform.py
@@ -1,4 +1,4 @@
-"""The HTTP form of the platform's list: ``GET /v1/endpoints``, a JSON list."""
+"""The platform's endpoint list over HTTP: ``GET /v1/endpoints``, a JSON list."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from croftpulley.endpoints import connection, lists
 
 _CONVERTER = cattrs.Converter()
-_TEXTS = ("name", "kind", "pool", "address", "hall", "incarnation")
+_STRING_FIELDS = ("name", "kind", "pool", "address", "hall", "incarnation")
 
 
 class HttpPlatformList(lists.PlatformList):
-    """Reads the list over HTTP."""
+    """Reads the endpoint list over HTTP."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         self._target = connection.Target(address, timeout_s, timeout_s)
 
     def read(self) -> lists.Reading:
-        """Read the list."""
+        """Read the list; raises `errors.CroftpulleyError` if it cannot be read as a whole."""
         request = connection.HttpRequest("GET", "/v1/endpoints")
         response, body = connection.whole(self._target, request, connection.ENGINE_FAILURES)
         lists.check_readable(response, request.path)
@@ -32,7 +32,7 @@
             raise self._malformed(str(failure)) from failure
         if not isinstance(document, list):
             raise self._malformed("got no list")
-        return lists.Reading.of([_decode(entry) for entry in document])
+        return lists.Reading.of([_decode_entry(entry) for entry in document])
 
     def _malformed(self, problem: str) -> errors.CroftpulleyError:
         return errors.CroftpulleyError(
@@ -40,11 +40,11 @@
         )
 
 
-def _decode(entry: Any) -> membership.Endpoint | lists.Spoiled:
-    """Return the endpoint that an entry names, or why it names none."""
+def _decode_entry(entry: Any) -> membership.Endpoint | lists.Spoiled:
+    """Return the endpoint that an entry describes, or why the entry is invalid."""
     if not isinstance(entry, dict):
         return lists.not_an_object(entry)
-    for name in _TEXTS:
+    for name in _STRING_FIELDS:
         value = entry.get(name)
         if not isinstance(value, str):
             return lists.wrong_field(name, value, "a string")
--- a/src/croftpulley/endpoints/http_worker.py
+++ b/src/croftpulley/endpoints/http_worker.py
@@ -1,4 +1,4 @@
-"""The HTTP form of a plain service's worker: ``POST /call/{service}/{call}``."""
+"""The HTTP protocol of a plain service's workers: ``POST /call/{service}/{call}``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HttpWorkerClient(base.WorkerClient):
-    """Speaks to workers over HTTP."""
+    """A client for workers over HTTP."""
 
     def __init__(self, connect_timeout_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
@@ -23,7 +23,7 @@
         token: cancel.CancelToken,
         timeout_s: float,
     ) -> base.WorkerAnswer:
-        """Send a call and return the whole answer."""
+        """Send a call and return the complete response."""
         headers = {"X-Request-Id": call.request_id}
         if call.idempotency_key:
             headers["Idempotency-Key"] = call.idempotency_key
--- a/src/croftpulley/endpoints/lists.py
+++ b/src/croftpulley/endpoints/lists.py
@@ -1,4 +1,4 @@
-"""The platform's list of endpoints, whatever its protocol."""
+"""Protocol-independent interface of the platform's endpoint list."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from croftpulley import codes, errors
 from croftpulley.core import membership, withdrawal
 
-_NOT_NOW = (429, 503)
-"""Statuses that say to come back later."""
+_RETRY_LATER_STATUSES = (429, 503)
+"""Statuses that ask the client to retry later."""
 
 
 class Defect(enum.Enum):
-    """Why an entry of the list names no endpoint to use."""
+    """Why an entry of the list is invalid."""
 
     NOT_AN_OBJECT = "not_an_object"
     UNREADABLE = "unreadable"
-    """Its bytes are no JSON or no UTF-8."""
+    """Its bytes are not valid JSON or UTF-8."""
     FIELD_MISSING = "field_missing"
     FIELD_TYPE = "field_type"
     UNKNOWN_STATE = "unknown_state"
     BAD_ADDRESS = "bad_address"
     NO_START_TIME = "no_start_time"
-    """It lacks the time of its start, which the list tells of other endpoints."""
+    """It lacks the endpoint's start time, which other entries of the list have."""
 
 
 class NotNowError(errors.CroftpulleyError):
-    """The list may not be read now; ``wait_s`` is for how long, 0 if that was not said."""
+    """The platform asks to read the list later; ``wait_s`` is how long to wait, 0 if unknown."""
 
     def __init__(self, detail: str, wait_s: float = 0.0) -> None:
         super().__init__(codes.ResultCode.ENGINE_REFUSED, detail)
@@ -42,8 +42,8 @@
 
 
 def check_readable(response: urllib3.HTTPResponse, path: str) -> None:
-    """Raise `NotNowError` for an answer by which the list is not to be read now."""
-    if response.status not in _NOT_NOW:
+    """Raise `RetryLaterError` if the status asks to read the list later."""
+    if response.status not in _RETRY_LATER_STATUSES:
         return
     headers = response.headers
     value = headers.get("Retry-After", "")
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Spoiled:
-    """An entry that names no endpoint to use, and what is wrong with it."""
+    """An invalid entry: the kind of defect, and a description of the problem."""
 
     defect: Defect
     problem: str
@@ -61,9 +61,9 @@
 
 @attrs.frozen
 class Reading:
-    """The list as read once; an entry that is spoiled says nothing of any other.
+    """The list as read once; an invalid entry does not affect the others.
 
-    ``cold_left_s`` says, by their keys, for how long endpoints are still cold.
+    ``cold_remaining_s`` maps endpoints' keys to the seconds for which they are still cold.
     """
 
     endpoints: tuple[membership.Endpoint, ...] = ()
@@ -72,7 +72,7 @@
 
     @classmethod
     def of(cls, decoded: Iterable[membership.Endpoint | Spoiled]) -> Reading:
-        """Make it of entries in the order of the list."""
+        """Create it from decoded entries in the order of the list."""
         endpoints: list[membership.Endpoint] = []
         spoiled: list[Spoiled] = []
         for each in decoded:
@@ -83,28 +83,31 @@
         return cls(tuple(endpoints), tuple(spoiled))
 
     def defects(self) -> dict[str, int]:
-        """Return how many entries have which defect."""
+        """Return the number of invalid entries by defect."""
         return dict(collections.Counter(each.defect.value for each in self.spoiled))
 
 
 def not_an_object(value: Any) -> Spoiled:
-    """Return what stands for an entry that is no object."""
+    """Return the invalid entry for a value that is no JSON object."""
     return Spoiled(Defect.NOT_AN_OBJECT, f"got {value!r:.100}, expected an object")
 
 
 def wrong_field(name: str, value: Any, expected: str) -> Spoiled:
-    """Return what stands for an entry that lacks a field, or has one of another type."""
+    """Return the invalid entry for a field that is missing or has the wrong type."""
     if value is None:
         return Spoiled(Defect.FIELD_MISSING, f"{name}: missing")
     return Spoiled(Defect.FIELD_TYPE, f"{name}: got {value!r:.100}, expected {expected}")
 
 
 LONGEST_COLD_S = 60.0
-"""No endpoint is cold for so long: a longer time is a fault of its writer, and read anew anyway."""
+"""No endpoint is cold for longer: a longer time is a fault of the platform's entry, and the list
+is read again anyway."""
 
 
 def cold_left_s(told_s: float) -> float:
-    """Return how long an endpoint is cold by what its entry says, whatever the number.
+    """Return the seconds for which an endpoint is cold by its entry, from 0 to the limit.
+
+    Any float is accepted; NaN counts as 0.
 
     >>> [cold_left_s(told_s) for told_s in (-1, 0.5, 1e300, float("nan"))]
     [0.0, 0.5, 60.0, 0.0]
@@ -113,7 +116,7 @@
 
 
 class PlatformList(abc.ABC):
-    """The platform's lagging list of what is live and what is leaving."""
+    """The platform's list of live endpoints and those shutting down; it may be out of date."""
 
     @abc.abstractmethod
     def read(self) -> Reading:
--- a/src/croftpulley/filters/__init__.py
+++ b/src/croftpulley/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The filter chain that every caller's request goes through; `chain` shows the order."""
+"""The filter chain for callers' requests; `chain` defines the order."""
--- a/src/croftpulley/filters/admission.py
+++ b/src/croftpulley/filters/admission.py
@@ -1,4 +1,4 @@
-"""Whether the request stays within this box's limits."""
+"""Limits the requests in flight at this box."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 
 
 class Admission(base.Filter):
-    """Counts requests in flight, in all and by workspace."""
+    """Counts requests in flight, in total and per workspace."""
 
     def __init__(self, in_flight: streams.Streams) -> None:
         self._streams = in_flight
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Count the request in until its reply has ended; raises where a limit is reached."""
+        """Count the request as in flight until its reply ends.
+
+        Raises `errors.CroftpulleyError` where a limit is reached.
+        """
         workspace = exchange.workspace
         if workspace is None:
             raise RuntimeError("the identify filter must come before the admission filter")
--- a/src/croftpulley/filters/base.py
+++ b/src/croftpulley/filters/base.py
@@ -1,4 +1,4 @@
-"""What a filter is, and what passes along the chain."""
+"""The filter base class, and the requests and replies that filters pass along the chain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceCall:
-    """A call to a plain service, as the path names it."""
+    """The service and the call that the request's path names."""
 
     service: str
     call: str
@@ -23,9 +23,9 @@
 
 @attrs.frozen(kw_only=True)
 class ChatCall:
-    """A chat completion, as the body asks for it.
+    """A chat completion request, parsed from the body.
 
-    ``chat_key`` is what the chat's turns have in common.
+    ``chat_key`` is the same for all turns of a chat.
     """
 
     model: str
@@ -37,7 +37,11 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A request as it came over HTTP; header names are in lower case."""
+    """A caller's HTTP request; header names are in lower case.
+
+    ``arrived_s`` is a time of the monotonic clock; ``caller_gone`` tells whether the caller has
+    disconnected.
+    """
 
     request_id: str
     headers: Mapping[str, str]
@@ -48,15 +52,15 @@
     caller_gone: Callable[[], bool] = lambda: False
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty if it is not there."""
+        """Return a header's value, empty if the header is absent."""
         return self.headers.get(name, "")
 
 
 @attrs.define(kw_only=True)
 class Exchange:
-    """One request on its way through the chain; filters fill it in.
+    """The state of one request in the chain; filters fill it in.
 
-    ``at_end`` holds what must happen when the reply's body has ended, however it ended.
+    ``at_end`` holds callbacks to run when the reply's body ends, also after a failure.
     """
 
     request: CallerRequest
@@ -74,10 +78,11 @@
     answer_so_far: str = ""
     at_end: contextlib.ExitStack = attrs.field(factory=contextlib.ExitStack)
 
-    def end_if_over(self, failure: errors.CroftpulleyError) -> None:
-        """Raise ``failure`` if no further attempt can help.
+    def raise_if_final(self, failure: errors.CroftpulleyError) -> None:
+        """Raise ``failure`` if the request is cancelled or its deadline has passed.
 
-        The owner of an engine watches the same deadline and may be the first to say so.
+        The owner of an engine watches the same deadline and may report it before this box does;
+        then the request is cancelled here.
         """
         if failure.code is codes.ResultCode.DEADLINE_PASSED:
             self.token.cancel(failure.code)
@@ -86,23 +91,23 @@
 
     @property
     def untried(self) -> list[membership.Endpoint]:
-        """The candidates at which no attempt has failed yet, preferred first."""
+        """The candidates without a failed attempt, preferred first."""
         return [each for each in self.candidates if each.name not in self.failed_engines]
 
     @property
     def workspace_name(self) -> str:
-        """The workspace's name, empty before it is known."""
+        """The workspace's name, empty before the request is identified."""
         return self.workspace.name if self.workspace else ""
 
     @property
     def class_name(self) -> str:
-        """The class's name, empty before it is known."""
+        """The request class's name, empty before the request is identified."""
         return self.request_class.name if self.request_class else ""
 
 
 @attrs.frozen
 class WholeReply:
-    """A reply whose body is known."""
+    """A reply whose body is complete before it is sent."""
 
     http_status: int
     content_type: str
@@ -111,14 +116,14 @@
 
 @attrs.frozen
 class TextPart:
-    """Text of an answer that is now next."""
+    """The next text of a response."""
 
     text: str
 
 
 @attrs.frozen
 class EndPart:
-    """The end of an answer, with the counts of the attempt that finished it."""
+    """The end of a response, with the token counts of the attempt that finished it."""
 
     finish_reason: str
     prompt_tokens: int
@@ -128,14 +133,17 @@
 
 @attrs.frozen
 class AnswerReply:
-    """A chat's answer as it arrives; whoever reads it must end the exchange's ``at_end``."""
+    """A chat's response as it arrives; its reader must close the exchange's ``at_end``."""
 
     parts: Iterator[TextPart | EndPart]
 
 
 @attrs.frozen
 class AttemptReply:
-    """What the dispatch filter gives the relay filter: one attempt that was accepted."""
+    """An accepted attempt, returned by the dispatch filter to the relay filter.
+
+    ``path`` is the metric label: direct or forwarded to the owner.
+    """
 
     attempt: attempts.Attempt
     stream: endpoints.EngineStream
@@ -147,4 +155,4 @@
 
 
 class Filter(steps.Step[Exchange, Reply]):
-    """One step of the chains for chats and services."""
+    """A step of the filter chains for chats and services."""
--- a/src/croftpulley/filters/call.py
+++ b/src/croftpulley/filters/call.py
@@ -1,4 +1,4 @@
-"""The end of the chain for plain services: calls a worker."""
+"""The last filter for plain services: calls a worker."""
 
 from __future__ import annotations
 
@@ -8,19 +8,27 @@
 from croftpulley.endpoints import base as endpoints
 from croftpulley.filters import base
 
-_GRACE_S = 1.0
-"""The deadline's own watch must end the call, so that its result code says so."""
+_TIMEOUT_MARGIN_S = 1.0
+"""Added to the read timeout, so that the deadline's watch ends the call first and with its own
+result code."""
 
 
 class CallWorker(base.Filter):
-    """Tries the workers in order; goes on to the next only where that cannot run a call twice."""
+    """Tries the workers in order until one answers, without running a call with a key twice.
+
+    A call with an idempotency key is retried only if the failed attempt did not run it; a call
+    without one is always retried.
+    """
 
     def __init__(self, client: endpoints.WorkerClient, clock: clocks.Clock) -> None:
         self._client = client
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Call a worker; raises when none answered."""
+        """Return the response of the first worker that answers.
+
+        Raises `errors.CroftpulleyError` when none does.
+        """
         call = _worker_call(exchange)
         failure = errors.CroftpulleyError(codes.ResultCode.WORKER_UNREACHABLE)
         for worker in exchange.candidates:
@@ -30,25 +38,25 @@
                 raise errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
             try:
                 answer = self._client.call(
-                    worker.address, call, attempt, exchange.token, remaining_s + _GRACE_S
+                    worker.address, call, attempt, exchange.token, remaining_s + _TIMEOUT_MARGIN_S
                 )
             except errors.CroftpulleyError as raised:
                 failure = raised
-                if exchange.token.reason is not None or not _may_try_again(call, attempt):
+                if exchange.token.reason is not None or not _may_retry(call, attempt):
                     break
                 continue
             return base.WholeReply(answer.http_status, answer.content_type, answer.body)
         raise failure
 
 
-def _may_try_again(call: endpoints.WorkerCall, attempt: attempts.Attempt) -> bool:
+def _may_retry(call: endpoints.WorkerCall, attempt: attempts.Attempt) -> bool:
     return attempt.run_state is codes.RunState.NOT_RUN or not call.idempotency_key
 
 
 def _worker_call(exchange: base.Exchange) -> endpoints.WorkerCall:
     call = exchange.request.service_call
     if call is None:
-        raise RuntimeError("a chat came to the end of the services' chain")
+        raise RuntimeError("the service chain got a chat request")
     return endpoints.WorkerCall(
         request_id=exchange.request.request_id,
         service=call.service,
--- a/src/croftpulley/filters/chain.py
+++ b/src/croftpulley/filters/chain.py
@@ -1,4 +1,4 @@
-"""The two chains, in their order. A new filter is one file and one line here."""
+"""The order of the filters in both chains; a new filter is one file and one entry here."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class Filters:
-    """One of each filter, set up by the daemon."""
+    """An instance of each filter, created by the daemon."""
 
     observe: observe.Observe
     serving: serving.Serving
@@ -40,7 +40,7 @@
 def chat_chain(filters: Filters) -> base.Proceed:
     """Return the chain for chat completions.
 
-    Relay stands before dispatch because it runs the rest of the chain once for each attempt.
+    Relay comes before dispatch because it runs the rest of the chain once for each attempt.
     """
     return steps.link(
         (
--- a/src/croftpulley/filters/choice.py
+++ b/src/croftpulley/filters/choice.py
@@ -1,4 +1,4 @@
-"""Which endpoints may serve the request, preferred first."""
+"""Selects the endpoints that may serve a request, preferred first."""
 
 from __future__ import annotations
 
@@ -9,10 +9,13 @@
 
 
 class ChooseEngine(base.Filter):
-    """Orders the engines of the chat's pool by the chat's key."""
+    """Orders the engines of the chat's pool by rendezvous hashing of the chat key."""
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Fill in the candidates; raises where no engine is in service."""
+        """Fill in the candidates.
+
+        Raises `errors.CroftpulleyError` (NO_ENGINE) if there are none.
+        """
         if exchange.chat is None:
             raise RuntimeError("the identify filter must come before the choice filter")
         exchange.candidates = rendezvous.engines_for(
@@ -24,13 +27,16 @@
 
 
 class ChooseWorker(base.Filter):
-    """Orders the workers of the service's pool so that requests spread evenly."""
+    """Orders the workers of the service's pool by request id, so that load spreads evenly."""
 
     def __init__(self, endpoints: actors.View[tuple[membership.Endpoint, ...]]) -> None:
         self._endpoints = endpoints
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Fill in the candidates; raises where no worker is in service."""
+        """Fill in the candidates.
+
+        Raises `errors.CroftpulleyError` (WORKER_UNREACHABLE) if there are none.
+        """
         if exchange.service is None:
             raise RuntimeError("the identify filter must come before the choice filter")
         usable = {
--- a/src/croftpulley/filters/claim.py
+++ b/src/croftpulley/filters/claim.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated are claimed before they are sent, and their outcome recorded."""
+"""Claims the idempotency key of a call before the call is sent, and records the outcome."""
 
 from __future__ import annotations
 
@@ -16,32 +16,38 @@
 
 
 class Claim(base.Filter):
-    """Lets a call with an idempotency key through once."""
+    """Lets a call with an idempotency key run at most once.
+
+    A call that the service lists as unrepeatable must have a key.
+    """
 
     def __init__(self, control: control_client.ControlClient) -> None:
         self._control = control
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Claim the key and pass the call on, or answer from what is known of it."""
+        """Claim the key and pass the call on, or return the outcome recorded for the key.
+
+        Raises `errors.CroftpulleyError`: BAD_REQUEST, KEY_REQUIRED, KEY_CONFLICT, OUTCOME_UNKNOWN.
+        """
         key = exchange.request.header("idempotency-key")
         if not key:
-            _check_repeatable(exchange)
+            _require_key(exchange)
             return proceed(exchange)
-        if len(key) > identify.NAME_SIZE_LIMIT or not key.isprintable():
+        if len(key) > identify.MAX_NAME_LENGTH or not key.isprintable():
             raise errors.CroftpulleyError(
                 codes.ResultCode.BAD_REQUEST,
-                f"the Idempotency-Key must be at most {identify.NAME_SIZE_LIMIT} printable"
+                f"the Idempotency-Key must be at most {identify.MAX_NAME_LENGTH} printable"
                 " characters",
             )
         answer = self._control.claim(
-            exchange.workspace_name, key, _digest(exchange), uuid.uuid4().hex
+            exchange.workspace_name, key, _call_digest(exchange), uuid.uuid4().hex
         )
         if answer.state is not claims.ClaimState.FRESH:
-            return _answer_known(answer)
+            return _reply_from_claim(answer)
         return self._run_once(exchange, key, proceed)
 
     def _run_once(self, exchange: base.Exchange, key: str, proceed: base.Proceed) -> base.Reply:
-        """Run the claimed call; only a call known not to have run frees its key."""
+        """Run the claimed call; its key is freed only if the call is known not to have run."""
         try:
             reply = proceed(exchange)
         except errors.CroftpulleyError:
@@ -58,14 +64,14 @@
         return reply
 
     def _record(self, exchange: base.Exchange, key: str, outcome: claims.Outcome) -> None:
-        """Record the outcome; the caller's answer stands also when that fails."""
+        """Record the outcome; a failure to do so is logged and doesn't change the response."""
         try:
             self._control.record(exchange.workspace_name, key, outcome)
         except errors.CroftpulleyError:
             _emit(events.Event.OUTCOME_NOT_RECORDED, exchange)
 
 
-def _check_repeatable(exchange: base.Exchange) -> None:
+def _require_key(exchange: base.Exchange) -> None:
     call = exchange.request.service_call
     if call is None or exchange.service is None:
         return
@@ -73,8 +79,8 @@
         raise errors.CroftpulleyError(codes.ResultCode.KEY_REQUIRED)
 
 
-def _digest(exchange: base.Exchange) -> str:
-    """Stand for the whole call, so that a key reused for another is found out."""
+def _call_digest(exchange: base.Exchange) -> str:
+    """Return a digest of the whole call, which detects a key that is reused for another call."""
     call = exchange.request.service_call
     path = f"{call.service}/{call.call}" if call else ""
     digest = hashlib.sha256(f"{path}\n{exchange.request.content_type}\n".encode())
@@ -82,7 +88,7 @@
     return digest.hexdigest()
 
 
-def _answer_known(answer: claims.ClaimAnswer) -> base.Reply:
+def _reply_from_claim(answer: claims.ClaimAnswer) -> base.Reply:
     if answer.state is claims.ClaimState.CONFLICT:
         raise errors.CroftpulleyError(codes.ResultCode.KEY_CONFLICT)
     if answer.outcome is None:
--- a/src/croftpulley/filters/deadline.py
+++ b/src/croftpulley/filters/deadline.py
@@ -1,4 +1,4 @@
-"""Until when the caller can use an answer."""
+"""Sets the deadline of each request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Deadline(base.Filter):
-    """Sets the deadline and has the request watched until it ends."""
+    """Sets the deadline; has the request cancelled when it passes or the caller disconnects."""
 
     def __init__(self, watch: streams.Streams, default_ms: int, limit_ms: int) -> None:
         self._streams = watch
@@ -16,7 +16,10 @@
         self._limit_ms = limit_ms
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Set the deadline; raises for a malformed one."""
+        """Set the deadline from ``X-Deadline-Ms`` or the default.
+
+        Raises `errors.CroftpulleyError` (BAD_REQUEST) for a malformed header.
+        """
         budget_ms = self._budget_ms(exchange.request.header("x-deadline-ms"))
         exchange.deadline_s = exchange.request.arrived_s + budget_ms / 1000
         watched = streams.Watched(exchange.token, exchange.deadline_s, exchange.request.caller_gone)
--- a/src/croftpulley/filters/dispatch.py
+++ b/src/croftpulley/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""The end of the chain for chats: finds an engine whose owner admits the request."""
+"""The last filter for chats: finds an engine whose owner admits the request."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from croftpulley.transport import messages
 
 _LOG = logging.getLogger(__name__)
-_SOON_OVER = (
+_TRANSIENT_REFUSALS = (
     codes.ResultCode.NOT_OWNER,
     codes.ResultCode.LOAD_UNKNOWN,
     codes.ResultCode.NO_ENGINE,
     codes.ResultCode.NO_LEASE,
     codes.ResultCode.NO_CAPACITY,
 )
-"""Refusals that end when the engine has its next owner, or when a request ends there."""
-_MOMENT_S = 0.05
+"""Refusals that may end soon: when the engine gets its next owner, or a request there ends."""
+_RETRY_INTERVAL_S = 0.05
+"""The longest wait for a newer directory before the candidates are tried again."""
 
 
 class Dispatch(base.Filter):
-    """Tries the candidates in order until one is admitted and its answer begins."""
+    """Tries the candidates in order until one admits the request and its response begins."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         view: actors.View[state.FleetState],
         admission_wait_s: float,
         clock: clocks.Clock,
-        moment_s: float = _MOMENT_S,
+        retry_interval_s: float = _RETRY_INTERVAL_S,
     ) -> None:
         self._box = box
         self._local = local_dispatcher
@@ -45,31 +46,36 @@
         self._candidates_limit = candidates_limit
         self._view = view
         self._admission_wait_s = admission_wait_s
-        self._moment_s = moment_s
+        self._retry_interval_s = retry_interval_s
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Start one attempt; raises when no candidate takes it.
+        """Start one attempt; raises `errors.CroftpulleyError` when no candidate admits it.
 
-        While engines move from one owner to another, or are all full, nobody may admit. That may
-        soon be over, so the candidates are tried again for a while: at once when the directory
-        changes, and after a moment all the same, since a new owner may hear of its engine later
-        than this box does.
+        While engines change owners, or all are full, no owner may admit a request. This is often
+        short, so the candidates are retried until the admission wait is over: at once when the
+        directory changes, and otherwise at an interval, since a new owner may learn of its engine
+        later than this box does.
         """
-        ends_at_s = self._clock.monotonic_s() + self._admission_wait_s
+        deadline_s = self._clock.monotonic_s() + self._admission_wait_s
         while True:
             try:
                 return self._try_candidates(exchange)
             except local.NotAdmittedError as refusal:
                 exchange.token.check()
-                if refusal.code not in _SOON_OVER or self._clock.monotonic_s() >= ends_at_s:
+                if (
+                    refusal.code not in _TRANSIENT_REFUSALS
+                    or self._clock.monotonic_s() >= deadline_s
+                ):
                     raise
-            self._follow_directory(exchange)
+            self._refresh_candidates(exchange)
 
-    def _follow_directory(self, exchange: base.Exchange) -> None:
-        """Wait a moment for a newer directory and take over the one there is."""
+    def _refresh_candidates(self, exchange: base.Exchange) -> None:
+        """Wait up to the retry interval for a newer directory; then use the latest one."""
         version = exchange.directory.version
-        self._view.wait_for(lambda known: known.directory.version != version, self._moment_s)
+        self._view.wait_for(
+            lambda known: known.directory.version != version, self._retry_interval_s
+        )
         if exchange.chat is not None:
             exchange.directory = self._view.get().directory
             exchange.candidates = rendezvous.engines_for(
@@ -77,7 +83,7 @@
             )
 
     def _try_candidates(self, exchange: base.Exchange) -> base.Reply:
-        """Ask each candidate once, then those that were full with what they said."""
+        """Ask each candidate once, then the full ones again with their mean load."""
         loads: dict[str, int] = {}
         refusals: list[errors.CroftpulleyError] = []
         for engine in exchange.untried[: self._candidates_limit]:
@@ -85,17 +91,17 @@
                 return self._attempt(exchange, engine, 0.0)
             except errors.CroftpulleyError as failure:
                 refusals.append(failure)
-                self._after_failure(exchange, engine, failure, loads)
+                self._record_failure(exchange, engine, failure, loads)
         for _ in range(len(loads)):
             engine, mean = _least_loaded(exchange, loads)
             try:
                 return self._attempt(exchange, engine, mean)
             except errors.CroftpulleyError as failure:
                 refusals.append(failure)
-                self._after_failure(exchange, engine, failure, loads)
+                self._record_failure(exchange, engine, failure, loads)
             if not loads:
                 break
-        raise _told(refusals)
+        raise _overall_refusal(refusals)
 
     def _attempt(
         self, exchange: base.Exchange, engine: membership.Endpoint, mean_evidence: float
@@ -105,14 +111,14 @@
         if owner is None or box is None:
             raise local.NotAdmittedError(codes.ResultCode.NO_ENGINE, -1)
         attempt = exchange.attempts.begin(engine.name)
-        order = self._order(exchange, owner, attempt, mean_evidence)
+        order = self._build_order(exchange, owner, attempt, mean_evidence)
         if box.name == self._box:
             stream = self._local.start(order, attempt, exchange.token)
             return base.AttemptReply(attempt, stream, metrics.DIRECT)
         stream = self._remote.start(box.peer_address, order, attempt, exchange.token)
         return base.AttemptReply(attempt, stream, metrics.FORWARDED)
 
-    def _order(
+    def _build_order(
         self,
         exchange: base.Exchange,
         owner: membership.Ownership,
@@ -136,27 +142,27 @@
         )
 
     @staticmethod
-    def _after_failure(
+    def _record_failure(
         exchange: base.Exchange,
         engine: membership.Endpoint,
         failure: errors.CroftpulleyError,
         loads: dict[str, int],
     ) -> None:
-        """Note what a refusal tells of the engine's load; go on unless the request has ended."""
+        """Store the load that a refusal reports; raise if the request has ended."""
         loads.pop(engine.name, None)
         if isinstance(failure, local.NotAdmittedError):
             if failure.load >= 0:
                 loads[engine.name] = failure.load
             return
-        exchange.end_if_over(failure)
+        exchange.raise_if_final(failure)
         log_failure(exchange, engine.name, failure)
         exchange.failed_engines.add(engine.name)
 
 
-def _told(refusals: list[errors.CroftpulleyError]) -> errors.CroftpulleyError:
-    """Return the refusal that stands for all: one that may soon be over, else the last."""
+def _overall_refusal(refusals: list[errors.CroftpulleyError]) -> errors.CroftpulleyError:
+    """Return the refusal to report: the first transient one, else the last."""
     for each in refusals:
-        if isinstance(each, local.NotAdmittedError) and each.code in _SOON_OVER:
+        if isinstance(each, local.NotAdmittedError) and each.code in _TRANSIENT_REFUSALS:
             return each
     return refusals[-1] if refusals else errors.CroftpulleyError(codes.ResultCode.NO_ENGINE)
 
@@ -164,10 +170,10 @@
 def _least_loaded(
     exchange: base.Exchange, loads: dict[str, int]
 ) -> tuple[membership.Endpoint, float]:
-    """Return the least loaded engine and the mean, by what refusals have shown.
+    """Return the least loaded engine and the mean load, both from the refusals.
 
-    The mean that an owner knows lags behind a surge. The refusals carry exact counts, and the
-    least loaded of them can be at most at their mean. Others may have taken its place since; then
+    The mean load that an owner knows lags behind a surge. The refusals carry exact counts, and the
+    least loaded engine is at most at their mean. Other requests may have filled it since; then
     its next refusal corrects the count.
     """
     mean = sum(loads.values()) / len(loads)
@@ -176,7 +182,7 @@
 
 
 def log_failure(exchange: base.Exchange, engine: str, failure: errors.CroftpulleyError) -> None:
-    """Write the event of an attempt that did not finish."""
+    """Log an attempt that did not finish."""
     events.emit(
         _LOG,
         events.Event.ENGINE_ATTEMPT_FAILED,
--- a/src/croftpulley/filters/identify.py
+++ b/src/croftpulley/filters/identify.py
@@ -1,4 +1,4 @@
-"""Who asks, and for what: workspace, class, and the chat or the service."""
+"""Identifies a request: its workspace, its class, and its chat or service."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 from croftpulley.filters import base
 from croftpulley.settings import fleet
 
-NAME_SIZE_LIMIT = 256
-"""The longest workspace, chat id, class or idempotency key."""
+MAX_NAME_LENGTH = 256
+"""Limits the characters of a workspace, chat id, class or idempotency key."""
 
 
 class Identify(base.Filter):
-    """Fills in workspace, class, and chat or service."""
+    """Fills in the exchange's workspace, class, and chat or service."""
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Identify the request; raises for an unknown name or a malformed body."""
+        """Identify the request.
+
+        Raises `errors.CroftpulleyError` for an unknown name or a malformed header or body.
+        """
         exchange.workspace = _workspace(exchange)
         exchange.request_class = _request_class(exchange)
         if exchange.request.service_call is not None:
@@ -30,7 +33,7 @@
 
 
 def _workspace(exchange: base.Exchange) -> fleet.Workspace:
-    name = _named(exchange, "x-workspace")
+    name = _name_header(exchange, "x-workspace")
     workspace = exchange.configuration.workspace(name)
     if workspace is None:
         raise errors.CroftpulleyError(
@@ -41,11 +44,11 @@
 
 
 def _request_class(exchange: base.Exchange) -> fleet.RequestClass:
-    name = _named(exchange, "x-class")
+    name = _name_header(exchange, "x-class")
     request_class = exchange.configuration.request_class(name)
     if request_class is None:
         allowed = ", ".join(each.name for each in exchange.configuration.classes)
-        raise _bad(f"got X-Class {name!r}, allowed are {allowed}")
+        raise _bad_request(f"got X-Class {name!r}, allowed are {allowed}")
     return request_class
 
 
@@ -63,9 +66,9 @@
     name = body.get("model")
     messages = body.get("messages")
     if not isinstance(name, str):
-        raise _bad(f'got "model": {name!r}, expected a string')
+        raise _bad_request(f'got "model": {name!r}, expected a string')
     if not isinstance(messages, list) or not messages:
-        raise _bad('"messages" must be a list with at least one message')
+        raise _bad_request('"messages" must be a list with at least one message')
     model = exchange.configuration.model(name)
     if model is None:
         raise errors.CroftpulleyError(codes.ResultCode.UNKNOWN_MODEL, f"got model {name!r}")
@@ -74,9 +77,11 @@
     return base.ChatCall(
         model=name,
         pool=model.pool,
-        stream=_flag(body, "stream"),
+        stream=_boolean_field(body, "stream"),
         include_usage=usage is True,
-        chat_key=rendezvous.chat_key(workspace.name, name, _named(exchange, "x-chat"), messages),
+        chat_key=rendezvous.chat_key(
+            workspace.name, name, _name_header(exchange, "x-chat"), messages
+        ),
     )
 
 
@@ -84,25 +89,25 @@
     try:
         body = orjson.loads(data)
     except orjson.JSONDecodeError as failure:
-        raise _bad(f"the body is not JSON: {failure}") from failure
+        raise _bad_request(f"the body is not JSON: {failure}") from failure
     if not isinstance(body, dict):
-        raise _bad("the body must be a JSON object")
+        raise _bad_request("the body must be a JSON object")
     return body
 
 
-def _flag(body: dict[str, Any], name: str) -> bool:
+def _boolean_field(body: dict[str, Any], name: str) -> bool:
     value = body.get(name)
     if value is not None and not isinstance(value, bool):
-        raise _bad(f'got "{name}": {value!r}, expected true or false')
+        raise _bad_request(f'got "{name}": {value!r}, expected true or false')
     return bool(value)
 
 
-def _named(exchange: base.Exchange, header: str) -> str:
+def _name_header(exchange: base.Exchange, header: str) -> str:
     value = exchange.request.header(header)
-    if len(value) > NAME_SIZE_LIMIT or not value.isprintable():
-        raise _bad(f"{header} must be at most {NAME_SIZE_LIMIT} printable characters")
+    if len(value) > MAX_NAME_LENGTH or not value.isprintable():
+        raise _bad_request(f"{header} must be at most {MAX_NAME_LENGTH} printable characters")
     return value
 
 
-def _bad(detail: str) -> errors.CroftpulleyError:
+def _bad_request(detail: str) -> errors.CroftpulleyError:
     return errors.CroftpulleyError(codes.ResultCode.BAD_REQUEST, detail)
--- a/src/croftpulley/filters/observe.py
+++ b/src/croftpulley/filters/observe.py
@@ -1,4 +1,4 @@
-"""Metrics of every request, whatever becomes of it."""
+"""Records the metrics of every request, also of failed ones."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class Observe(base.Filter):
-    """Counts results and times the first text and the end."""
+    """Counts results, and measures the time to the first text and to the end."""
 
     def __init__(self, counters: metrics.Metrics, clock: clocks.Clock) -> None:
         self._counters = counters
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Pass the request on and record its end."""
+        """Pass the request on and record its result when its reply ends."""
         try:
             reply = proceed(exchange)
         except errors.CroftpulleyError as failure:
-            self._ended(exchange, failure.code)
+            self._record_end(exchange, failure.code)
             raise
         if isinstance(reply, base.AnswerReply):
-            return base.AnswerReply(self._observed(exchange, reply.parts))
-        self._ended(exchange, codes.ResultCode.OK)
+            return base.AnswerReply(self._observe_parts(exchange, reply.parts))
+        self._record_end(exchange, codes.ResultCode.OK)
         return reply
 
-    def _observed(
+    def _observe_parts(
         self, exchange: base.Exchange, parts: Iterator[base.TextPart | base.EndPart]
     ) -> Iterator[base.TextPart | base.EndPart]:
-        """Pass the parts on; a reader that stops early is a caller that went away."""
+        """Yield the parts; a reader that stops early counts as a caller that disconnected."""
         code = codes.ResultCode.CALLER_GONE
         first = True
         try:
@@ -55,9 +55,9 @@
             code = failure.code
             raise
         finally:
-            self._ended(exchange, code)
+            self._record_end(exchange, code)
 
-    def _ended(self, exchange: base.Exchange, code: codes.ResultCode) -> None:
+    def _record_end(self, exchange: base.Exchange, code: codes.ResultCode) -> None:
         if code is codes.ResultCode.CALLER_GONE:
             events.emit(_LOG, events.Event.CALLER_GONE, request_id=exchange.request.request_id)
         self._counters.request_ended(
--- a/src/croftpulley/filters/relay.py
+++ b/src/croftpulley/filters/relay.py
@@ -1,4 +1,4 @@
-"""Relays a chat's answer and has it go on elsewhere when an attempt breaks off."""
+"""Relays a chat's response, and resumes it at another engine when an attempt breaks off."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Relay(base.Filter):
-    """Puts the answer together from as many attempts as it takes, up to a limit."""
+    """Assembles the response from one or more attempts, up to a limit."""
 
     def __init__(
         self,
@@ -35,7 +35,10 @@
         self._sleep = sleep
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Return the answer once its first part is there; a failure before it raises here."""
+        """Return the response once its first part has arrived.
+
+        Raises `errors.CroftpulleyError` for a failure before that.
+        """
         parts = self._parts(exchange, proceed)
         exchange.at_end.callback(parts.close)  # type: ignore[attr-defined]
         first = next(parts)
@@ -51,40 +54,40 @@
                 raise RuntimeError("the dispatch filter must come after the relay filter")
             answer.begin_attempt(reply.attempt.number)
             try:
-                yield from self._follow(reply, answer)
+                yield from self._relay_attempt(reply, answer)
                 return
             except errors.CroftpulleyError as failure:
-                self._after_failure(exchange, reply.attempt, failure)
+                self._prepare_next_attempt(exchange, reply.attempt, failure)
             finally:
                 reply.stream.close()
             exchange.answer_so_far = answer.text
 
-    def _follow(
+    def _relay_attempt(
         self, reply: base.AttemptReply, answer: assembly.Assembler
     ) -> Iterator[base.TextPart | base.EndPart]:
         """Yield the parts of one attempt; raises `errors.CroftpulleyError` if it breaks off."""
         for batch in reply.stream.batches():
             self._counters.chunks_relayed(reply.path, len(batch))
-            taken = _take(batch, reply.attempt, answer)
-            if taken.text:
-                yield base.TextPart(taken.text)
-            if taken.failure is not None:
-                raise taken.failure
-            if taken.end is not None:
-                yield taken.end
+            result = _assemble(batch, reply.attempt, answer)
+            if result.text:
+                yield base.TextPart(result.text)
+            if result.failure is not None:
+                raise result.failure
+            if result.end is not None:
+                yield result.end
                 return
             if self._coalesce_s:
-                # What arrives meanwhile waits in the socket and is read at once.
+                # Chunks that arrive meanwhile stay in the socket's buffer and are read together.
                 self._sleep(self._coalesce_s)
 
-    def _after_failure(
+    def _prepare_next_attempt(
         self,
         exchange: base.Exchange,
         attempt: attempts.Attempt,
         failure: errors.CroftpulleyError,
     ) -> None:
-        """Prepare the next attempt, or raise where there is to be none."""
-        exchange.end_if_over(failure)
+        """Prepare the next attempt; raise ``failure`` if there is none left."""
+        exchange.raise_if_final(failure)
         dispatch.log_failure(exchange, attempt.endpoint, failure)
         if exchange.attempts.failed_count >= self._attempts_limit:
             raise failure
@@ -95,10 +98,10 @@
 
 
 @attrs.define
-class _Taken:
-    """What a batch gave: the text that is now next, and the end or the failure behind it.
+class _BatchResult:
+    """The result of a batch: its new text, and the end or the failure that follows it.
 
-    Text before a failure has been counted as sent, so it must reach the caller all the same.
+    Text before a failure is already counted as sent, so it must still reach the caller.
     """
 
     text: str = ""
@@ -106,33 +109,33 @@
     failure: errors.CroftpulleyError | None = None
 
 
-def _take(
+def _assemble(
     batch: endpoints.EventBatch, attempt: attempts.Attempt, answer: assembly.Assembler
-) -> _Taken:
-    """Add a batch to the answer."""
-    taken = _Taken()
+) -> _BatchResult:
+    """Add a batch of events to the response and return its new text, end or failure."""
+    result = _BatchResult()
     try:
         for event in batch:
             if isinstance(event, messages.Finished):
-                _check_whole(event, answer)
-                taken.end = _end(event)
-                return taken
-            taken.text += answer.add(attempt.number, event)
+                _check_complete(event, answer)
+                result.end = _end_part(event)
+                return result
+            result.text += answer.add(attempt.number, event)
     except assembly.ContradictionError as failure:
-        taken.failure = errors.CroftpulleyError(
+        result.failure = errors.CroftpulleyError(
             codes.ResultCode.ANSWER_CORRUPT, str(failure), run_state=attempt.run_state
         )
-    return taken
+    return result
 
 
-def _check_whole(finished: messages.Finished, answer: assembly.Assembler) -> None:
+def _check_complete(finished: messages.Finished, answer: assembly.Assembler) -> None:
     if not answer.check_end(finished.total_chars):
         raise assembly.ContradictionError(
             f"got {answer.offset_chars} characters, {finished.total_chars} were announced"
         )
 
 
-def _end(finished: messages.Finished) -> base.EndPart:
+def _end_part(finished: messages.Finished) -> base.EndPart:
     return base.EndPart(
         finished.finish_reason,
         finished.prompt_tokens,
--- a/src/croftpulley/filters/serving.py
+++ b/src/croftpulley/filters/serving.py
@@ -1,4 +1,7 @@
-"""Whether this box serves at all; everything else it would say without a lease may be stale."""
+"""Rejects requests while this box does not serve.
+
+Without a lease its state may be stale, and so may any other reply.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class Serving(base.Filter):
-    """Refuses without a lease and after the grace of a planned stop."""
+    """Rejects requests without a lease, and after the grace period of a planned stop."""
 
     def __init__(
         self,
@@ -22,7 +25,10 @@
         self._clock = clock
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.Reply:
-        """Pass the request on while this box serves."""
+        """Pass the request on while this box serves.
+
+        Raises `errors.CroftpulleyError` (DRAINING or NO_LEASE) otherwise.
+        """
         if self._closed.get():
             raise errors.CroftpulleyError(codes.ResultCode.DRAINING)
         if not self._view.get().lease_holds(self._clock.monotonic_s()):
--- a/src/croftpulley/policy/__init__.py
+++ b/src/croftpulley/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' programs for routing and admission."""
+"""Programs by operators for routing and admission."""
--- a/src/croftpulley/policy/arms.py
+++ b/src/croftpulley/policy/arms.py
@@ -1,7 +1,7 @@
-"""Arms: programs that decide for a share of the chats each, so that they can be compared.
+"""Arms of an experiment: each decides for a share of the chats, so that they can be compared.
 
-A program chooses only among endpoints that already keep every promise. Where it fails, the
-built-in choice is made instead.
+A program chooses only among endpoints that already meet every guarantee. If it fails, the
+built-in choice is used.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     "least_load",
     "most_held_tokens",
 )
-"""What an ``admit`` program is given: the request, and the endpoints that may take it."""
+"""Variables of an ``admit`` program: the request and the endpoints that may serve it."""
 CANDIDATE_NAMES = (
     *REQUEST_NAMES,
     "load",
@@ -33,18 +33,18 @@
     "rank",
     "same_hall",
 )
-"""What a ``score`` program is given besides, for each endpoint."""
-LONGEST_WAIT_S = 60.0
-"""The longest time after which an ``admit`` program may have a caller come back."""
+"""Variables of a ``score`` program, which runs for each endpoint."""
+MAX_WAIT_S = 60.0
+"""Limits the time after which an ``admit`` program may tell a caller to retry."""
 
 
 @attrs.frozen(kw_only=True)
 class Arm:
-    """A share of the chats and who decides for it.
+    """A share of the chats, by ``weight``, and the programs that decide for it.
 
-    ``score`` gives each endpoint a number, and the lowest is taken; ``admit`` returns 0 or after
-    how many seconds the caller should come back. Without a program the built-in rule decides. An
-    arm that does not ``act`` decides, is counted, and is not obeyed.
+    ``score`` gives each endpoint a number, and the lowest is chosen; ``admit`` returns 0 to admit,
+    or after how many seconds the caller should retry. Without a program the built-in rule decides.
+    The decisions of an arm that does not ``act`` are counted, but not applied (shadow mode).
     """
 
     name: str
@@ -67,18 +67,18 @@
 
     def __init__(self, arms: tuple[Arm, ...]) -> None:
         self._arms = arms
-        self._total = sum(arm.weight for arm in arms)
+        self._total_weight = sum(arm.weight for arm in arms)
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no chat falls to any arm."""
-        return not self._total
+        """Tell whether no arm has a weight, so that chats are assigned to none."""
+        return not self._total_weight
 
     def of(self, key: str) -> Arm | None:
-        """Return the arm of a chat; the same at every router."""
+        """Return the arm of a chat, by a hash of its key; the same at every router."""
         if self.is_empty:
             return None
-        position = xxhash.xxh3_64_intdigest(f"arm\x00{key}".encode()) % self._total
+        position = xxhash.xxh3_64_intdigest(f"arm\x00{key}".encode()) % self._total_weight
         for arm in self._arms:
             position -= arm.weight
             if position < 0:
@@ -88,7 +88,10 @@
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """What a program may know of a request; ``key`` orders endpoints alike at every router."""
+    """The properties of a request that programs see.
+
+    ``key`` gives the endpoints' order, which is the same at every router.
+    """
 
     key: str
     prompt_tokens: int
@@ -101,22 +104,22 @@
 def wait_s(
     arm: Arm, request: Request, candidates: Sequence[selection.Candidate], most_held_tokens: int
 ) -> float:
-    """Return 0 to take the request in, else after how long to come back.
+    """Return 0 to admit the request, else after how many seconds the caller should retry.
 
     Raises `language.ProgramError`.
     """
     if arm.admit is None:
         return 0.0
     wanted_s = arm.admit.run(_request_values(request, candidates, most_held_tokens))
-    return min(LONGEST_WAIT_S, max(0.0, wanted_s))
+    return min(MAX_WAIT_S, max(0.0, wanted_s))
 
 
 def chosen(
     arm: Arm, request: Request, candidates: Sequence[selection.Candidate], most_held_tokens: int
 ) -> selection.Candidate | None:
-    """Return the endpoint with the lowest score, ``None`` if the arm leaves it to the built-in.
+    """Return the endpoint with the lowest score, ``None`` if the arm has no ``score`` program.
 
-    Of equal scores the first in the request's own order. Raises `language.ProgramError`.
+    Ties go to the first in the request's rendezvous order. Raises `language.ProgramError`.
     """
     if arm.score is None:
         return None
--- a/testing/endpoints/test_connection.py
+++ b/testing/endpoints/test_connection.py
@@ -1,4 +1,4 @@
-"""When what is sent to an endpoint may still arrive."""
+"""Whether data sent to an endpoint can still be delivered after the exchange has failed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def listener():
-    """Listen at an address whose endpoint never answers."""
+    """Return a listening socket whose endpoint never responds."""
     with socket.create_server(("127.0.0.1", 0)) as made:
         yield made
 
@@ -36,7 +36,7 @@
         pass
 
 
-def test_a_limit_of_arrival_is_set_before_the_first_byte_leaves(listener):
+def test_the_ack_timeout_is_set_before_the_first_byte_is_sent(listener):
     exchange = exchange_with(listener, arrival_limit_s=1.5)
     seen_ms = []
 
@@ -48,11 +48,11 @@
     with pytest.raises(errors.CroftpulleyError):
         exchange.begin(request)
     exchange.close()
-    # Just before the first byte, and once more when the last has left.
+    # Called just before the first byte is sent, and again after the last one.
     assert seen_ms == [1500, 1500]
 
 
-def test_nothing_leaves_if_the_last_look_forbids_it(listener):
+def test_nothing_is_sent_if_the_callback_before_sending_raises(listener):
     def forbid():
         raise errors.CroftpulleyError(codes.ResultCode.DECLINED)
 
@@ -69,7 +69,7 @@
     exchange.close()
 
 
-def test_an_attempt_without_an_answer_leaves_nothing_that_arrives_later(listener):
+def test_an_attempt_without_a_response_resets_the_connection(listener):
     order = sender.Order(
         endpoint=membership.Endpoint(
             "e", membership.EndpointKind.WORKER, "desk", address_of(listener), "hall-a", "e"
--- a/testing/filters/test_dispatch.py
+++ b/testing/filters/test_dispatch.py
@@ -15,7 +15,7 @@
 
 
 class ScriptedDispatcher:
-    """Refuses as each engine's script says, then admits; keeps what it was asked."""
+    """Refuses with the (code, load) pairs scripted per engine, then admits; records the calls."""
 
     def __init__(self, clock, **refusals):
         self._clock = clock
@@ -53,7 +53,7 @@
         request=request, configuration=fleet.FleetConfiguration(), directory=directory
     )
     exchange.candidates = list(directory.engines)
-    chosen = dispatch.Dispatch("me", dispatcher, None, 8, view, wait_s, clock, moment_s=0.0)
+    chosen = dispatch.Dispatch("me", dispatcher, None, 8, view, wait_s, clock, retry_interval_s=0.0)
     return chosen.handle(exchange, None).attempt.endpoint
 
 
@@ -68,21 +68,21 @@
     assert dispatcher.asked == [("a", 0.0), ("b", 0.0)]
 
 
-def test_the_least_loaded_is_asked_again_with_what_the_refusals_showed(clock):
+def test_the_least_loaded_engine_is_asked_again_with_the_mean_of_the_refusals(clock):
     dispatcher = ScriptedDispatcher(clock, a=[(FULL, 5)], b=[(FULL, 1)], c=[(FULL, 3)])
     assert run(clock, dispatcher) == "b"
     assert dispatcher.asked[-1] == ("b", 3.0)
 
 
-def test_a_race_for_the_last_place_does_not_refuse_the_request(clock):
-    # Others took the least loaded engine's place between the refusal and the second question.
+def test_losing_a_race_for_the_last_slot_does_not_reject_the_request(clock):
+    # Other requests filled the least loaded engine between its refusal and the second try.
     dispatcher = ScriptedDispatcher(
         clock, a=[(FULL, 1)], b=[(FULL, 1)], c=[(FULL, 0), (FULL, 2), (FULL, 2)]
     )
     assert run(clock, dispatcher) in ("a", "b")
 
 
-def test_engines_between_owners_are_waited_for(clock):
+def test_a_request_waits_while_engines_change_owners(clock):
     dispatcher = ScriptedDispatcher(
         clock, a=[(MOVED, -1)] * 3, b=[(MOVED, -1)] * 3, c=[(MOVED, -1)] * 3
     )
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(("code", "load"), [(MOVED, -1), (FULL, 9)])
-def test_waiting_has_an_end_and_says_why(clock, code, load):
+def test_waiting_ends_after_the_admission_wait_with_the_transient_refusal(clock, code, load):
     script = {name: [(code, load)] * 1000 for name in "abc"}
     with pytest.raises(errors.CroftpulleyError) as caught:
         run(clock, ScriptedDispatcher(clock, **script))
--- a/testing/filters/test_relay.py
+++ b/testing/filters/test_relay.py
@@ -12,7 +12,7 @@
 
 
 class ScriptedStream(endpoints.EngineStream):
-    """An engine's stream that yields given batches; an error among them is raised."""
+    """An engine stream that yields the given batches and raises an exception among them."""
 
     def __init__(self, *batches):
         self._batches = batches
@@ -59,7 +59,7 @@
 
 
 def run(exchange, *streams, attempts_limit=6, cancel_at=None):
-    """Relay from the streams, one an attempt; return texts, the end and the offsets asked for."""
+    """Relay from the streams, one per attempt; return text, end, requested offsets and failure."""
     offsets = []
     left = list(streams)
 
@@ -84,7 +84,7 @@
     return "".join(texts), end, offsets, failure
 
 
-def test_an_answer_goes_on_from_the_offset_reached(exchange):
+def test_a_response_resumes_from_the_offset_reached(exchange):
     first = ScriptedStream((assembly.Chunk(0, "abc"),), broke())
     second = ScriptedStream((assembly.Chunk(3, "def"), finished(6)))
     text, end, offsets, _ = run(exchange, first, second)
@@ -93,22 +93,22 @@
     assert second.closed
 
 
-def test_text_beside_a_corrupt_end_reaches_the_caller(exchange):
-    # Once it was counted as sent and never yielded, so that the caller's answer had a hole.
+def test_text_in_the_batch_of_a_corrupt_end_reaches_the_caller(exchange):
+    # Guards against text that is counted as sent but not yielded: the response then had a gap.
     first = ScriptedStream((assembly.Chunk(0, "abc"), finished(7)))
     second = ScriptedStream((assembly.Chunk(3, "defg"), finished(7)))
     text, _, offsets, _ = run(exchange, first, second)
     assert (text, offsets) == ("abcdefg", [0, 3])
 
 
-def test_a_contradiction_ends_the_attempt_and_keeps_what_was_sent(exchange):
+def test_a_contradiction_ends_the_attempt_and_keeps_the_text_sent_before(exchange):
     first = ScriptedStream((assembly.Chunk(0, "abc"),), (assembly.Chunk(1, "XX"),))
     second = ScriptedStream((assembly.Chunk(3, "d"), finished(4)))
     text, _, _, failure = run(exchange, first, second)
     assert (text, failure) == ("abcd", None)
 
 
-def test_attempts_end_at_the_limit_with_the_last_failure(exchange):
+def test_attempts_stop_at_the_limit_with_the_last_failure(exchange):
     streams = [ScriptedStream((assembly.Chunk(0, "a"),), broke()) for _ in range(3)]
     _, _, offsets, failure = run(exchange, *streams, attempts_limit=2)
     assert failure.code is codes.ResultCode.ENGINE_BROKE
--- a/testing/policy/test_arms.py
+++ b/testing/policy/test_arms.py
@@ -1,4 +1,4 @@
-"""Arms: which chats fall to whom, and what their programs decide."""
+"""Arms: which chats are assigned to which arm, and what their programs decide."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
         ("return load if load < mean_load else 0", "busy-holder"),
     ],
 )
-def test_the_lowest_score_is_taken(source, name):
+def test_the_endpoint_with_the_lowest_score_is_chosen(source, name):
     assert arms.chosen(scored(source), REQUEST, CANDIDATES, 800).name == name
 
 
-def test_equal_scores_go_by_the_chats_own_order_at_every_router():
+def test_ties_are_broken_by_the_chats_rendezvous_order_at_every_router():
     arm = scored("return 0")
     first = arms.chosen(arm, REQUEST, CANDIDATES, 800)
     assert arms.chosen(arm, REQUEST, CANDIDATES[::-1], 800) == first
 
 
-def test_an_arm_without_a_program_leaves_it_to_the_built_in_rule():
+def test_an_arm_without_programs_uses_the_built_in_rule():
     assert arms.chosen(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) is None
     assert arms.wait_s(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) == 0
 
@@ -54,7 +54,7 @@
     ("source", "wait_s"),
     [("return 0", 0), ("return -3", 0), ("return 1.5", 1.5), ("return 9000", 60)],
 )
-def test_admission_says_when_to_come_back(source, wait_s):
+def test_an_admit_program_returns_the_wait_before_a_retry_within_limits(source, wait_s):
     arm = arms.Arm(name="a", admit=language.parse(source, arms.REQUEST_NAMES))
     assert arms.wait_s(arm, REQUEST, CANDIDATES, 800) == wait_s
 
--- a/testing/policy/test_language.py
+++ b/testing/policy/test_language.py
@@ -1,4 +1,4 @@
-"""The language of operators' programs: what it takes, what it refuses, and that it ends."""
+"""The language of operators' programs: what it accepts and rejects, and that programs end."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         ("# a comment\n\nreturn abs(load)", -3, 3),
     ],
 )
-def test_arithmetic_on_what_is_given(source, load, expected):
+def test_arithmetic_on_the_variables(source, load, expected):
     assert language.parse(source, NAMES).run({"load": load, "held": 0}) == expected
 
 
@@ -67,7 +67,7 @@
         ("return " + "not " * 200 + "1", "nested too deep"),
     ],
 )
-def test_anything_else_is_refused_with_its_line(source, problem):
+def test_anything_else_is_rejected_with_its_line(source, problem):
     with pytest.raises(language.ProgramError) as raised:
         language.parse(source, NAMES)
     assert problem in str(raised.value)
@@ -83,7 +83,7 @@
         "x = 1e15 * 1e15\nx = x * x * x * x\nx = x * x * x * x\nreturn x - x",
     ],
 )
-def test_what_comes_to_no_number_is_an_error_of_the_program(source):
+def test_a_result_that_is_not_a_finite_number_raises_program_error(source):
     program = language.parse(source, NAMES)
     with pytest.raises(language.ProgramError):
         program.run({"load": 1, "held": 0})
@@ -102,20 +102,20 @@
 
 
 @given(EXPRESSION, st.floats(-1e9, 1e9), st.integers(-(10**9), 10**9))
-def test_a_program_of_the_language_gives_a_finite_number_or_its_error(source, load, held):
+def test_a_valid_program_returns_a_finite_number_or_raises_program_error(source, load, held):
     program = language.parse(f"x = {source}\nreturn x * x * x", NAMES)
     with contextlib.suppress(language.ProgramError):
         assert math.isfinite(program.run({"load": load, "held": held}))
 
 
 @given(st.text(max_size=200))
-def test_no_text_does_anything_but_being_read_or_refused(source):
+def test_any_text_is_parsed_or_raises_program_error(source):
     with contextlib.suppress(language.ProgramError):
         language.parse(source, NAMES)
 
 
 @pytest.mark.parametrize("name", ["shifa", "glenbothy"])
-def test_the_programs_that_are_shipped_are_in_order(name):
+def test_the_example_programs_return_a_finite_number(name):
     source = (EXAMPLES / f"{name}.policy").read_text()
     values = dict.fromkeys(arms.CANDIDATE_NAMES, 1.0)
     assert math.isfinite(language.parse(source, arms.CANDIDATE_NAMES).run(values))
