--- a/src/croftpulley/dispatch/remote.py
+++ b/src/croftpulley/dispatch/remote.py
@@ -37,7 +37,7 @@
         Raises `local.NotAdmittedError`, or `errors.CroftpulleyError` (PEER_LOST). Nothing is sent
         before the connection is established, so an unreachable owner is known to have run nothing.
         """
-        exchange = self._new_exchange(peer_address, attempt, token)
+        exchange = self._exchange(peer_address, attempt, token)
         body = wire.encode_order(order)
         self._counters.control_bytes("Dispatch", len(body), 0)
         stream = RemoteAttempt(exchange, attempt, token)
@@ -50,7 +50,7 @@
             raise
         return stream
 
-    def _new_exchange(
+    def _exchange(
         self, peer_address: str, attempt: attempts.Attempt, token: cancel.CancelToken
     ) -> connection.Exchange:
         target = connection.Target(peer_address, self._connect_timeout_s, self._silence_timeout_s)
