--- a/src/croftpulley/__init__.py
+++ b/src/croftpulley/__init__.py
@@ -1,6 +1,6 @@
-"""Croftpulley: a router fleet for very many returning chats.
+"""Croftpulley: a fleet of request routers for large numbers of multi-turn chats.
 
-The public names of the library. Everything else is internal to the package.
+The names in ``__all__`` are the public API. Everything else is internal to the package.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def __getattr__(name: str) -> ModuleType:
-    """Load a public module when it is first used: no daemon needs all of them at its start."""
+    """Import a public module on first use: no daemon needs all of them when it starts."""
     if name in _MODULES:
         return importlib.import_module(_MODULES[name])
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/src/croftpulley/cancel.py
+++ b/src/croftpulley/cancel.py
@@ -1,4 +1,4 @@
-"""A way to stop a request from another thread, with the reason."""
+"""Cancellation of a request from another thread, with a reason."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CancelToken:
-    """Cancelled at most once; the first reason stays."""
+    """Cancels a request and runs callbacks; the first cancellation's reason is kept."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -18,11 +18,11 @@
 
     @property
     def reason(self) -> codes.ResultCode | None:
-        """Why the request was cancelled, or ``None`` while it was not."""
+        """The reason of the cancellation, or ``None`` if not cancelled."""
         return self._reason
 
     def cancel(self, reason: codes.ResultCode) -> bool:
-        """Cancel and run the callbacks; return whether this call was the first."""
+        """Cancel and run the callbacks in this thread; return whether this call was the first."""
         with self._lock:
             if self._reason is not None:
                 return False
@@ -33,7 +33,7 @@
         return True
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Run ``callback`` when cancelled, at once if that was before."""
+        """Run ``callback`` on cancellation, or immediately if already cancelled."""
         with self._lock:
             if self._reason is None:
                 self._callbacks.append(callback)
@@ -41,7 +41,7 @@
         callback()
 
     def forget(self, callback: Callable[[], None]) -> None:
-        """Run ``callback`` no more."""
+        """Remove ``callback`` if it is registered."""
         with self._lock:
             if callback in self._callbacks:
                 self._callbacks.remove(callback)
--- a/src/croftpulley/clock.py
+++ b/src/croftpulley/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: the real one, and one that tests move by hand."""
+"""The system clock, and a clock that tests advance manually."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Clock(abc.ABC):
-    """Where the daemons read time; pure cores are handed the reading."""
+    """The daemons' source of time; pure core modules get the time as an argument."""
 
     @abc.abstractmethod
     def monotonic_s(self) -> float:
-        """Return seconds that never step back and count suspensions, from an arbitrary start."""
+        """Return monotonic seconds from an arbitrary start, including time spent suspended."""
 
     @abc.abstractmethod
     def wall_s(self) -> float:
@@ -19,14 +19,14 @@
 
 
 class SystemClock(Clock):
-    """The machine's clock.
+    """The machine's clock, which also counts while the machine is suspended.
 
-    The one that counts while the machine is suspended: else a box that wakes up would take its
-    lease, and a leading control box its authority, for as fresh as they were before.
+    With a clock that stops, a box that wakes up would treat its lease as still valid, and a leading
+    control box its leader lease.
     """
 
     def monotonic_s(self) -> float:
-        """Return the machine's steady clock, suspensions counted."""
+        """Return the time since boot, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall_s(self) -> float:
@@ -35,7 +35,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """A clock that moves only when `advance` is called.
 
     >>> clock = ManualClock()
     >>> clock.advance(1.5)
@@ -47,9 +47,9 @@
         self._elapsed_s = 0.0
         self._wall_start_s = wall_start_s
 
-    def advance(self, seconds_s: float) -> None:
-        """Move the clock on."""
-        self._elapsed_s += seconds_s
+    def advance(self, duration_s: float) -> None:
+        """Advance both clocks."""
+        self._elapsed_s += duration_s
 
     def monotonic_s(self) -> float:
         """Return the seconds advanced so far."""
--- a/src/croftpulley/codes.py
+++ b/src/croftpulley/codes.py
@@ -1,7 +1,7 @@
 """Numbered result codes and run states.
 
-One table serves callers' error bodies, the messages between processes and the exit codes of the
-command line. ``docs/RESULT-CODES.md`` lists the same rows; a test holds the two together.
+The same codes are used in error bodies for callers, in messages between processes and as exit codes
+of the command line. ``docs/RESULT-CODES.md`` lists the same rows; a test checks that they agree.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RunState(enum.IntEnum):
-    """Whether an endpoint ran the request, as far as the fleet knows."""
+    """Whether an endpoint ran the request, as far as is known."""
 
     NOT_RUN = 0
     UNKNOWN = 1
@@ -29,7 +29,7 @@
 
 
 class ResultCode(enum.IntEnum):
-    """The result of a request or command; values below 256 so that they fit an exit status."""
+    """The result of a request or command; values are below 256, to fit an exit status."""
 
     OK = 0
     BAD_REQUEST = 10
@@ -90,10 +90,10 @@
 
 @attrs.frozen
 class ResultInfo:
-    """One row of the table.
+    """The properties of a result code.
 
-    ``http_status`` is what a caller sees, ``retry_after_s`` when to come back (``None``: asking
-    again with the same request does not help), ``meaning`` a sentence for a person.
+    ``http_status`` is the status that a caller gets, ``retry_after_s`` the delay before a retry
+    (``None`` if the same request would fail again), ``meaning`` a sentence for people.
     """
 
     http_status: int
--- a/src/croftpulley/errors.py
+++ b/src/croftpulley/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; each carries its result code and what is known about running."""
+"""Exceptions with a result code, and whether an endpoint may have run the request."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class CroftpulleyError(Exception):
     """An error with a result code.
 
-    ``run_state`` says whether an endpoint ran the request; ``retry_after_s`` when to come back.
-    Both default to what the table of result codes and a request never sent imply.
+    ``run_state`` says whether an endpoint ran the request, by default not. ``retry_after_s`` is the
+    delay before a retry. It and ``detail`` default to the entry of the code in `codes.INFO`.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
 
 
 class SettingsError(CroftpulleyError):
-    """One fault in a settings file: where it is, what was got and what is allowed."""
+    """One error in a settings file: its path, the key, and what is wrong with the value."""
 
     def __init__(self, path: str, key: str, problem: str) -> None:
         self.path = path
@@ -40,8 +40,8 @@
 
 
 class SettingsErrorGroup(ExceptionGroup[SettingsError]):
-    """Every fault found in one settings file."""
+    """All errors found in one settings file."""
 
     def derive(self, excs: Sequence[SettingsError]) -> SettingsErrorGroup:  # type: ignore[override]
-        """Make a group of the same kind, as the exception group protocol asks."""
+        """Return a group of the same class, as `ExceptionGroup.split` requires."""
         return SettingsErrorGroup(self.message, excs)
--- a/src/croftpulley/observe/__init__.py
+++ b/src/croftpulley/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator sees: numbered log events, structured logs and metrics."""
+"""Observability: numbered log events, structured logs, metrics and log analysis."""
--- a/src/croftpulley/observe/events.py
+++ b/src/croftpulley/observe/events.py
@@ -1,4 +1,7 @@
-"""Numbered log events; ``docs/EVENTS.md`` is their catalogue and a test holds the two together."""
+"""Numbered log events.
+
+``docs/EVENTS.md`` is their catalogue; a test checks that the two agree.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class Event(enum.IntEnum):
-    """An event's number; its name goes into the log line too."""
+    """The number of an event; the log line also has its name, in lower case."""
 
     DAEMON_STARTED = 100
     DAEMON_STOPPING = 101
@@ -192,16 +195,17 @@
 ) -> None:
     """Write one log line for ``event``; ``fields`` become keys of the JSON line.
 
-    What never happened is infinitely long ago, which JSON has no number for: it becomes null.
+    A time since something that never happened is infinite. JSON has no such number, so infinite
+    values and NaN are written as null. ``failure`` is logged with its traceback.
     """
-    told = {name: _finite(value) for name, value in fields.items()}
+    extra = {name: _null_if_not_finite(value) for name, value in fields.items()}
     logger.log(
         level,
         MEANINGS[event],
-        extra={"event": event.value, "event_name": event.name.lower(), **told},
+        extra={"event": event.value, "event_name": event.name.lower(), **extra},
         exc_info=failure,
     )
 
 
-def _finite(value: object) -> object:
+def _null_if_not_finite(value: object) -> object:
     return None if isinstance(value, float) and not math.isfinite(value) else value
--- a/src/croftpulley/observe/explain.py
+++ b/src/croftpulley/observe/explain.py
@@ -1,6 +1,6 @@
-"""From a request's id to its cause, by the log lines of all processes.
+"""Explains how a request ended, from the log lines of all processes.
 
-Pure: lines in, a story and a sentence out. What each event carries is in ``docs/EVENTS.md``.
+Pure functions: no I/O. ``docs/EVENTS.md`` lists the fields of each event.
 """
 
 from __future__ import annotations
@@ -15,18 +15,21 @@
 from croftpulley.observe import events
 
 _ENVELOPE = ("time", "level", "logger", "message", "box", "event", "event_name", "exc_info")
-_LATE_LOAD = 1.5
-"""An endpoint that had so many times the mean in flight had the request wait behind others."""
-_LATE_READING_TOKENS = 4000
-"""About 0.1 s of reading, by the users' sheets, before the request's own turn."""
+_HIGH_LOAD_RATIO = 1.5
+"""Ratio of an endpoint's load to the mean above which its load explains a delay."""
+_SLOW_PREFILL_TOKENS = 4000
+"""Tokens to prefill, ahead of a request or of its own prompt, that explain a delay.
 
-_OF_ALL_REQUESTS = frozenset({events.Event.REST_ASKED, events.Event.LEAVING_SAID})
-"""What an endpoint said in its answer to one request holds for those that follow."""
+Their prefill takes about 0.1 s, by the users' data sheets.
+"""
+
+_ENDPOINT_WIDE_EVENTS = frozenset({events.Event.REST_ASKED, events.Event.LEAVING_SAID})
+"""Events logged for one request that affect later requests to the same endpoint too."""
 
 
 @attrs.frozen
-class Line:
-    """One line of a log; ``fields`` are those that the event itself carries."""
+class LogLine:
+    """One event from a log; ``fields`` has what is specific to the event."""
 
     time: str
     box: str
@@ -35,20 +38,20 @@
     fields: Mapping[str, Any]
 
     def __str__(self) -> str:
-        told = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.time}  {self.box:<24} {self.event_name:<22} {told}"
+        fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
+        return f"{self.time}  {self.box:<24} {self.event_name:<22} {fields}"
 
 
 @attrs.frozen
-class Story:
-    """The lines of one request in their order, and what they come to."""
+class Explanation:
+    """The log lines that concern one request, in order of time, and the cause of its end."""
 
-    lines: tuple[Line, ...]
+    lines: tuple[LogLine, ...]
     cause: str
 
 
-def read(text_lines: Iterable[str]) -> Iterator[Line]:
-    """Read log lines; anything before the JSON object is passed over, as is what is no event."""
+def read(text_lines: Iterable[str]) -> Iterator[LogLine]:
+    """Parse log lines; skip text before the JSON object, and lines that hold no event."""
     for text in text_lines:
         begin = text.find("{")
         try:
@@ -58,7 +61,7 @@
         if not isinstance(document, dict) or "event" not in document:
             continue
         fields = {name: value for name, value in document.items() if name not in _ENVELOPE}
-        yield Line(
+        yield LogLine(
             time=str(document.get("time", "")),
             box=str(document.get("box", "")),
             event=int(document["event"]),
@@ -67,243 +70,257 @@
         )
 
 
-def explain(request_id: str, all_lines: Iterable[Line]) -> Story:
-    """Return the story of a request: its lines, and those of its box that explain its end."""
-    # Lines of other requests are most of a log; few of them explain anything here.
-    wanted = (
+def explain(request_id: str, all_lines: Iterable[LogLine]) -> Explanation:
+    """Return the log lines of a request, those that explain its end, and a description of it."""
+    # Most of a log is about other requests, and few of those lines are relevant here.
+    relevant = (
         line
         for line in all_lines
-        if line.fields.get("request_id") in (None, request_id) or line.event in _OF_ALL_REQUESTS
+        if line.fields.get("request_id") in (None, request_id)
+        or line.event in _ENDPOINT_WIDE_EVENTS
     )
-    ordered = sorted(wanted, key=lambda line: line.time)
+    ordered = sorted(relevant, key=lambda line: line.time)
     own = [line for line in ordered if line.fields.get("request_id") == request_id]
     if not own:
         left_out = [line for line in ordered if line.event == events.Event.LOG_LINES_LEFT_OUT]
-        return Story(
+        return Explanation(
             tuple(left_out),
             "No process wrote a line for this id: it reached no router, or its lines were left "
             f"out under load ({len(left_out)} notes of lines left out).",
         )
-    around = _Around(own, ordered)
-    cause, because = _cause(around)
-    held_back, since = _held_back(around)
-    cause += held_back
-    because += since
-    lines = sorted({id(line): line for line in (*own, *because)}.values(), key=lambda x: x.time)
-    return Story(tuple(lines), cause)
+    log = _RequestLog(own, ordered)
+    cause, evidence = _find_cause(log)
+    repeat_text, repeat_evidence = _describe_held_back_repeat(log)
+    cause += repeat_text
+    evidence += repeat_evidence
+    lines = sorted({id(line): line for line in (*own, *evidence)}.values(), key=lambda x: x.time)
+    return Explanation(tuple(lines), cause)
 
 
-_ENDS = frozenset({events.Event.REQUEST_REFUSED, events.Event.REQUEST_ANSWERED})
+_FINAL_EVENTS = frozenset({events.Event.REQUEST_REFUSED, events.Event.REQUEST_ANSWERED})
 
 
-def _is_at_peer(line: Line) -> bool:
-    """Tell whether a box wrote this of a request that another one had handed it."""
+def _came_by_hop(line: LogLine) -> bool:
+    """Return whether the line is about a request that another box passed to this one."""
     return bool(line.fields.get("hop_from"))
 
 
-class _Around:
-    """A request's lines, and what its last box wrote before and after."""
+class _RequestLog:
+    """The log lines of a request, and the other lines of the box that finished it.
 
-    def __init__(self, own: list[Line], ordered: list[Line]) -> None:
+    ``last`` is the line on which the request ended, or its newest line if it has no end.
+    """
+
+    def __init__(self, own: list[LogLine], ordered: list[LogLine]) -> None:
         self.own = own
-        # What a box wrote that was handed the request ended there; the caller's end came after.
-        ends = [line for line in own if line.event in _ENDS and not _is_at_peer(line)]
-        self.last = ends[-1] if ends else own[-1]
-        self._box = [line for line in ordered if line.box == self.last.box]
-        self._ordered = ordered
-
-    def before(self, *wanted: events.Event, anywhere: bool = False) -> list[Line]:
-        """Return the newest line of each wanted event before the request's end."""
-        lines = self._ordered if anywhere else self._box
+        # A box to which the request was passed logs an end too, before the end for the caller.
+        final_lines = [
+            line for line in own if line.event in _FINAL_EVENTS and not _came_by_hop(line)
+        ]
+        self.last = final_lines[-1] if final_lines else own[-1]
+        self._box_lines = [line for line in ordered if line.box == self.last.box]
+        self._all_lines = ordered
+
+    def latest_before_end(self, *wanted: events.Event, anywhere: bool = False) -> list[LogLine]:
+        """Return the newest line of each event up to the request's end.
+
+        Only lines of the last box count, or those of all boxes if ``anywhere``.
+        """
+        lines = self._all_lines if anywhere else self._box_lines
         found = []
         for event in wanted:
             earlier = [x for x in lines if x.event == event and x.time <= self.last.time]
             found += earlier[-1:]
         return found
 
-    def rests(self, problem: str) -> list[Line]:
-        """Return the newest line of each endpoint that asked this box for rest before the end.
+    def rest_requests(self, problem: str) -> list[LogLine]:
+        """Return each endpoint's newest rest request to this box, up to the request's end.
 
-        Of the pool that ``problem`` names, or of all where it names none.
+        An endpoint asks for rest by a 503 with Retry-After: it wants no requests for that time.
+        Limited to the pool that ``problem`` names, if it names one.
         """
         asked = [
             line
-            for line in self._box
+            for line in self._box_lines
             if line.event == events.Event.REST_ASKED
             and line.time <= self.last.time
             and (repr(line.fields.get("pool")) in problem or "pool " not in problem)
         ]
         return list({line.fields.get("endpoint"): line for line in asked}.values())
 
-    def after(self, wanted: events.Event) -> list[Line]:
-        """Return the first line of an event on the box after the request's last line."""
-        later = [x for x in self._box if x.event == wanted and x.time > self.last.time]
+    def first_after_end(self, event: events.Event) -> list[LogLine]:
+        """Return the first line of an event on the last box after the request's last line."""
+        later = [x for x in self._box_lines if x.event == event and x.time > self.last.time]
         return later[:1]
 
-    def ends(self) -> list[Line]:
-        """Return the lines of all boxes on endpoints that ended under the request, until its end.
+    def crash_lines(self) -> list[LogLine]:
+        """Return the lines of all boxes on endpoint crashes with this request, up to its end.
 
-        Where a part of its prompt is what the refusal names, those under that part.
+        If the refusal names a part of the prompt, the crashes with that part instead.
         """
-        accused = self._accused()
-        earlier = [line for line in self._ordered if line.time <= self.last.time]
-        return [line for line in earlier if accused and _names(line, accused)]
+        suspect = self._suspect()
+        earlier = [line for line in self._all_lines if line.time <= self.last.time]
+        return [line for line in earlier if suspect and _concerns(line, suspect)]
 
-    def _accused(self) -> str:
+    def _suspect(self) -> str:
+        """Return the prompt part that the refusal names, else the request's fingerprint."""
         fields = self.last.fields
         parts = [fingerprints.part_feature(str(each)) for each in fields.get("parts", ())]
         named = [each for each in parts if each in str(fields.get("problem", "")).split()]
         return named[0] if named else str(fields.get("fingerprint", ""))
 
-    def of(self, event: events.Event) -> list[Line]:
-        """Return the request's own lines of an event."""
+    def own_events(self, event: events.Event) -> list[LogLine]:
+        """Return the request's own lines of one event."""
         return [line for line in self.own if line.event == event]
 
 
-def _names(line: Line, accused: str) -> bool:
-    """Tell whether a line is of an endpoint that ended under a request or part, or of that one."""
+def _concerns(line: LogLine, suspect: str) -> bool:
+    """Return whether a line is about the suspect, or about an endpoint crash that implicates it."""
     fields = line.fields
     if line.event == events.Event.REQUEST_SUSPECTED:
-        return bool(fields.get("fingerprint") == accused)
+        return bool(fields.get("fingerprint") == suspect)
     if line.event != events.Event.ENDPOINT_ENDED:
         return False
-    return accused in fields.get("fingerprints", ()) or accused in fields.get("parts", ())
+    return suspect in fields.get("fingerprints", ()) or suspect in fields.get("parts", ())
 
 
-_Cause = tuple[str, list[Line]]
+_Cause = tuple[str, list[LogLine]]
+"""A description for an operator, and the log lines that support it."""
 
 
-def _cause(around: _Around) -> _Cause:
-    if around.last.event == events.Event.REQUEST_REFUSED:
-        code = str(around.last.fields.get("code", ""))
-        cause, because = _REFUSALS.get(code, _other_refusal)(around)
-    elif around.last.event == events.Event.REQUEST_ANSWERED:
-        cause, because = _answered(around, around.last)
+def _find_cause(log: _RequestLog) -> _Cause:
+    if log.last.event == events.Event.REQUEST_REFUSED:
+        code = str(log.last.fields.get("code", ""))
+        cause, evidence = _REFUSALS.get(code, _other_refusal)(log)
+    elif log.last.event == events.Event.REQUEST_ANSWERED:
+        cause, evidence = _explain_answer(log, log.last)
     else:
-        cause, because = _no_end(around)
-    told, lost = _hop(around)
-    return cause + told + _versions(around), [*because, *lost]
+        cause, evidence = _explain_missing_end(log)
+    text, hop_evidence = _describe_hop(log)
+    return cause + text + _describe_versions(log), [*evidence, *hop_evidence]
 
 
-def _versions(around: _Around) -> str:
-    """Say where a stream that was taken up began, and at which versions its attempts ran."""
-    told = ""
-    for line in around.of(events.Event.STREAM_TAKEN_UP)[-1:]:
+def _describe_versions(log: _RequestLog) -> str:
+    """Describe where a resumed stream began, and the versions to which its attempts went."""
+    text = ""
+    for line in log.own_events(events.Event.STREAM_TAKEN_UP)[-1:]:
         fields = line.fields
-        told = f" It takes up stream {fields.get('resumes')!r} behind event {fields['after_event']}"
-        told += _KNOWN.get(str(fields.get("outcome")), _KNOWN["unknown"]).format(**fields)
+        text = f" It takes up stream {fields.get('resumes')!r} behind event {fields['after_event']}"
+        text += _ORIGIN_SENTENCES.get(
+            str(fields.get("outcome")), _ORIGIN_SENTENCES["unknown"]
+        ).format(**fields)
     chosen = [
-        str(line.fields.get("version", "")) for line in around.of(events.Event.ENDPOINT_CHOSEN)
+        str(line.fields.get("version", "")) for line in log.own_events(events.Event.ENDPOINT_CHOSEN)
     ]
     versions = list(dict.fromkeys(each for each in chosen if each))
-    if len(versions) > 1 or (told and versions):
-        told += f" Its attempts went to {', '.join(versions)}."
-    return told
+    if len(versions) > 1 or (text and versions):
+        text += f" Its attempts went to {', '.join(versions)}."
+    return text
 
 
-_KNOWN = {
+_ORIGIN_SENTENCES = {
     "known": ", which began in pool {pool!r} at version {version!r}, as {known_by} knew.",
     "moved": ", which began in pool {pool!r}; its route leads there no more.",
     "fits_anywhere": ", of which nobody knew; pool {pool!r} has had one version for long.",
     "unknown": ", of which nobody knew; pool {pool!r} has, or may have had, several versions.",
 }
-"""By what is known of a stream that is taken up."""
+"""Sentences on the origin of a resumed stream, by the outcome of its lookup."""
 
 
-def _hop(around: _Around) -> _Cause:
-    """Say by which box the request went; nothing if it went by none."""
-    hopped = around.of(events.Event.REQUEST_HOPPED)
+def _describe_hop(log: _RequestLog) -> _Cause:
+    """Describe the box to which the request was passed; empty if there is none."""
+    hopped = log.own_events(events.Event.REQUEST_HOPPED)
     if not hopped:
         return "", []
     fields = hopped[-1].fields
     return (
         f" It went by way of {fields.get('peer')}, as {hopped[-1].box} reached no endpoint of pool "
         f"{fields.get('pool')!r}.",
-        around.before(events.Event.POOL_OUT_OF_REACH),
+        log.latest_before_end(events.Event.POOL_OUT_OF_REACH),
     )
 
 
-def _held_back(around: _Around) -> _Cause:
-    """Say that it went nowhere else for want of a repeat; nothing if it was not held back."""
-    held_back = around.of(events.Event.REPEAT_HELD_BACK)
+def _describe_held_back_repeat(log: _RequestLog) -> _Cause:
+    """Describe a retry that the shared budget did not grant; empty if there is none."""
+    held_back = log.own_events(events.Event.REPEAT_HELD_BACK)
     if not held_back:
         return "", []
     fields = held_back[-1].fields
-    told = (
+    text = (
         f" It was sent nowhere else: {fields.get('repeats_spent')} repeats of this box count, its "
         f"requests earned {fields.get('repeats_earned')} and its share of the extra is "
         f"{fields.get('repeats_extra')}."
     )
     if fields.get("repeats_extra"):
-        return told, []
-    # A box uses its share only under a lease, and some time after its first one.
-    return told, around.before(
+        return text, []
+    # A box uses its share of the extra retries only under a lease, and some time after its first.
+    return text, log.latest_before_end(
         events.Event.DAEMON_STARTED, events.Event.LEASE_GAINED, events.Event.LEASE_LOST
     )
 
 
-def _no_lease(around: _Around) -> _Cause:
-    because = around.before(events.Event.RENEW_FAILED, events.Event.LEASE_LOST)
-    because += around.before(events.Event.REPLICA_ROLE, anywhere=True)
+def _no_lease(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.RENEW_FAILED, events.Event.LEASE_LOST)
+    evidence += log.latest_before_end(events.Event.REPLICA_ROLE, anywhere=True)
     return (
         "Refused, not run: the box had no word from the leading control box for a whole lease. "
         "The lines before say which address failed and who led.",
-        because,
+        evidence,
     )
 
 
-def _out_of_reach(around: _Around) -> _Cause:
-    because = around.before(events.Event.POOL_OUT_OF_REACH)
-    because += around.of(events.Event.HOP_FAILED)
-    return f"Refused, not run: {around.last.fields.get('problem', '')}.", because
+def _out_of_reach(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.POOL_OUT_OF_REACH)
+    evidence += log.own_events(events.Event.HOP_FAILED)
+    return f"Refused, not run: {log.last.fields.get('problem', '')}.", evidence
 
 
-def _no_configuration(around: _Around) -> _Cause:
-    because = around.before(events.Event.DAEMON_STARTED)
-    return "Refused, not run: the box had just started and knew no configuration yet.", because
+def _no_configuration(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.DAEMON_STARTED)
+    return "Refused, not run: the box had just started and knew no configuration yet.", evidence
 
 
-def _draining(around: _Around) -> _Cause:
-    because = around.before(events.Event.DRAIN_STARTED)
-    return "Refused, not run: the box was in a planned stop.", because
+def _draining(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.DRAIN_STARTED)
+    return "Refused, not run: the box was in a planned stop.", evidence
 
 
-def _no_engine(around: _Around) -> _Cause:
-    because = around.before(
+def _no_engine(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(
         events.Event.DAEMON_STARTED, events.Event.ENDPOINT_UNLISTED, events.Event.LEASE_GAINED
     )
-    told = "Refused, not run: the box knew no endpoint of the pool that may be asked."
-    problem = str(around.last.fields.get("problem", ""))
+    text = "Refused, not run: the box knew no endpoint of the pool that may be asked."
+    problem = str(log.last.fields.get("problem", ""))
     if "evacuated" not in problem:
-        return told, because
-    because = around.before(events.Event.HALLS_CHANGED)
-    because += around.before(events.Event.HALLS_IN_FORCE, anywhere=True)
-    return f"{told} Operators have evacuated halls: {problem}.", because
+        return text, evidence
+    evidence = log.latest_before_end(events.Event.HALLS_CHANGED)
+    evidence += log.latest_before_end(events.Event.HALLS_IN_FORCE, anywhere=True)
+    return f"{text} Operators have evacuated halls: {problem}.", evidence
 
 
-def _cold(around: _Around) -> _Cause:
-    because = around.before(events.Event.HALLS_CHANGED, events.Event.ENDPOINT_LISTED)
+def _endpoints_cold(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.HALLS_CHANGED, events.Event.ENDPOINT_LISTED)
     return (
-        f"Refused, not run: {around.last.fields.get('problem', '')}, and all that this box may "
+        f"Refused, not run: {log.last.fields.get('problem', '')}, and all that this box may "
         "send to cold endpoints in a second was sent, or the leading control box allotted it none.",
-        because,
+        evidence,
     )
 
 
-def _resting(around: _Around) -> _Cause:
-    fields = around.last.fields
-    asked = around.rests(str(fields.get("problem", "")))
-    told = [f" {x.fields.get('endpoint')} for {x.fields.get('rest_s')} s." for x in asked]
+def _endpoints_resting(log: _RequestLog) -> _Cause:
+    fields = log.last.fields
+    asked = log.rest_requests(str(fields.get("problem", "")))
+    rest_texts = [f" {x.fields.get('endpoint')} for {x.fields.get('rest_s')} s." for x in asked]
     return (
         f"Refused, not run: {fields.get('problem', '')}: they had asked this box for rest."
-        f"{''.join(told)} It was told to come back in {fields.get('retry_after_s')} s.",
+        f"{''.join(rest_texts)} It was told to come back in {fields.get('retry_after_s')} s.",
         asked,
     )
 
 
-def _no_capacity(around: _Around) -> _Cause:
-    problem = around.last.fields.get("problem", "")
-    refused = around.of(events.Event.ROOM_REFUSED)
+def _no_capacity(log: _RequestLog) -> _Cause:
+    problem = log.last.fields.get("problem", "")
+    refused = log.own_events(events.Event.ROOM_REFUSED)
     if refused:
         fields = refused[-1].fields
         return (
@@ -312,105 +329,107 @@
             f" s, and it could wait {fields.get('patience_s')} s.",
             [],
         )
-    because = around.before(events.Event.REST_ASKED, events.Event.REST_ENDED)
-    return f"Refused, not run: {problem}.", because
+    evidence = log.latest_before_end(events.Event.REST_ASKED, events.Event.REST_ENDED)
+    return f"Refused, not run: {problem}.", evidence
 
 
-def _unknown(around: _Around) -> _Cause:
-    version = around.last.fields.get("configuration_version")
-    because = around.before(events.Event.CONFIGURATION_IN_USE)
-    because += around.before(events.Event.CONFIGURATION_IN_FORCE, anywhere=True)
+def _unknown_route_or_key(log: _RequestLog) -> _Cause:
+    version = log.last.fields.get("configuration_version")
+    evidence = log.latest_before_end(events.Event.CONFIGURATION_IN_USE)
+    evidence += log.latest_before_end(events.Event.CONFIGURATION_IN_FORCE, anywhere=True)
     return (
         f"Refused, not run: no such route or key in version {version} of the configuration, which "
         "the box used. Compare with the version that was in force.",
-        because,
+        evidence,
     )
 
 
-def _crashes(around: _Around) -> _Cause:
-    fields = around.last.fields
+def _request_crashes(log: _RequestLog) -> _Cause:
+    fields = log.last.fields
     return (
         f"Refused, not run: {fields.get('problem', '')}, at whichever router it came, so it is "
         f"sent to none for another {fields.get('retry_after_s')} s. `croftpulley ctl suspects` "
         "lists such requests and parts, and clears one.",
-        around.ends(),
+        log.crash_lines(),
     )
 
 
-def _on_trial(around: _Around) -> _Cause:
-    fields = around.last.fields
+def _request_on_trial(log: _RequestLog) -> _Cause:
+    fields = log.last.fields
     return (
         f"Refused, not run: {fields.get('problem', '')}, so it runs at one endpoint at a time; it "
         "was on trial elsewhere, or no control box said whether it might be tried.",
-        around.ends(),
+        log.crash_lines(),
     )
 
 
-def _arm_refused(around: _Around) -> _Cause:
-    return f"Refused, not run: {around.last.fields.get('problem', '')}.", []
+def _arm_refused(log: _RequestLog) -> _Cause:
+    return f"Refused, not run: {log.last.fields.get('problem', '')}.", []
 
 
-def _declined(around: _Around) -> _Cause:
-    engines = [str(x.fields.get("engine")) for x in around.of(events.Event.ENGINE_ATTEMPT_FAILED)]
+def _declined(log: _RequestLog) -> _Cause:
+    engines = [
+        str(x.fields.get("engine")) for x in log.own_events(events.Event.ENGINE_ATTEMPT_FAILED)
+    ]
     asked = [
         f" {line.fields.get('endpoint')} asked this box for {line.fields.get('rest_s')} s of rest."
-        for line in around.of(events.Event.REST_ASKED)
+        for line in log.own_events(events.Event.REST_ASKED)
     ]
-    told = f"Refused, not run: {', '.join(engines)} declined it or could not be reached."
-    return told + "".join(asked), []
+    text = f"Refused, not run: {', '.join(engines)} declined it or could not be reached."
+    return text + "".join(asked), []
 
 
-def _caller_gone(around: _Around) -> _Cause:
-    after_s = around.last.fields.get("after_s")
+def _caller_gone(log: _RequestLog) -> _Cause:
+    after_s = log.last.fields.get("after_s")
     return f"The caller went away after {after_s} s; work for it was cancelled.", []
 
 
-def _deadline(around: _Around) -> _Cause:
-    why, because = _slowness(around)
-    return f"Its time ran out. {why}", because
+def _deadline_passed(log: _RequestLog) -> _Cause:
+    why, evidence = _explain_delay(log)
+    return f"Its time ran out. {why}", evidence
 
 
-def _origin_unknown(around: _Around) -> _Cause:
-    because = around.before(events.Event.RENEW_FAILED, events.Event.ORIGINS_UNTOLD)
-    because += around.before(events.Event.ENDPOINT_LISTED, anywhere=True)
-    return f"Refused, not run: {around.last.fields.get('problem', '')}.", because
+def _origin_unknown(log: _RequestLog) -> _Cause:
+    evidence = log.latest_before_end(events.Event.RENEW_FAILED, events.Event.ORIGINS_UNTOLD)
+    evidence += log.latest_before_end(events.Event.ENDPOINT_LISTED, anywhere=True)
+    return f"Refused, not run: {log.last.fields.get('problem', '')}.", evidence
 
 
-def _other_refusal(around: _Around) -> _Cause:
-    fields = around.last.fields
+def _other_refusal(log: _RequestLog) -> _Cause:
+    fields = log.last.fields
     state = fields.get("run_state")
     unknown = " Whether it ran is not known: ask the endpoint's records by its id."
-    ends = around.ends()
-    ended = " The endpoint ended while it had this request." if ends else ""
+    crash_lines = log.crash_lines()
+    ended = " The endpoint ended while it had this request." if crash_lines else ""
     return (
         f"Ended with {fields.get('code')} ({state}) after {fields.get('attempts')} attempts: "
         f"{fields.get('problem', '')}.{unknown if state == 'unknown' else ''}{ended}",
-        ends,
+        crash_lines,
     )
 
 
-_REFUSALS: dict[str, Callable[[_Around], _Cause]] = {
+_REFUSALS: dict[str, Callable[[_RequestLog], _Cause]] = {
     "NO_LEASE": _no_lease,
     "NO_CONFIGURATION": _no_configuration,
     "DRAINING": _draining,
     "NO_ENGINE": _no_engine,
-    "ENDPOINTS_COLD": _cold,
-    "ENDPOINTS_RESTING": _resting,
+    "ENDPOINTS_COLD": _endpoints_cold,
+    "ENDPOINTS_RESTING": _endpoints_resting,
     "NO_CAPACITY": _no_capacity,
-    "ROUTE_UNKNOWN": _unknown,
-    "KEY_UNKNOWN": _unknown,
+    "ROUTE_UNKNOWN": _unknown_route_or_key,
+    "KEY_UNKNOWN": _unknown_route_or_key,
     "ARM_REFUSED": _arm_refused,
-    "REQUEST_CRASHES": _crashes,
-    "REQUEST_ON_TRIAL": _on_trial,
+    "REQUEST_CRASHES": _request_crashes,
+    "REQUEST_ON_TRIAL": _request_on_trial,
     "DECLINED": _declined,
     "OUT_OF_REACH": _out_of_reach,
     "ORIGIN_UNKNOWN": _origin_unknown,
     "CALLER_GONE": _caller_gone,
-    "DEADLINE_PASSED": _deadline,
+    "DEADLINE_PASSED": _deadline_passed,
 }
 
 
-def _answered(around: _Around, end: Line) -> _Cause:
+def _explain_answer(log: _RequestLog, end: LogLine) -> _Cause:
     fields = end.fields
     endpoint, after_s = fields.get("endpoint"), fields.get("after_s")
     if fields.get("code") == "CALLER_GONE":
@@ -419,14 +438,14 @@
         return f"The answer of {endpoint} broke off ({fields.get('code')}); it ran.", []
     if int(fields.get("status", 0)) >= 500:
         return f"{endpoint} itself failed it with status {fields.get('status')}; it ran.", []
-    why, because = _slowness(around)
-    return f"Answered by {endpoint} in {after_s} s. {why}", because
+    why, evidence = _explain_delay(log)
+    return f"Answered by {endpoint} in {after_s} s. {why}", evidence
 
 
-def _slowness(around: _Around) -> _Cause:
-    """Say what took time, as far as the lines of the choices tell."""
-    failed = around.of(events.Event.ENGINE_ATTEMPT_FAILED)
-    chosen = around.of(events.Event.ENDPOINT_CHOSEN)
+def _explain_delay(log: _RequestLog) -> _Cause:
+    """Describe what delayed the request, as far as its log lines show it."""
+    failed = log.own_events(events.Event.ENGINE_ATTEMPT_FAILED)
+    chosen = log.own_events(events.Event.ENDPOINT_CHOSEN)
     reasons = [
         f"{line.fields.get('engine')} was asked in vain ({line.fields.get('code')})."
         for line in failed
@@ -434,22 +453,22 @@
     reasons += [
         f"It waited {line.fields.get('waited_s')} s for a permit of its pool, with "
         f"{line.fields.get('ahead')} ahead of it."
-        for line in around.of(events.Event.ROOM_WAITED)
+        for line in log.own_events(events.Event.ROOM_WAITED)
     ]
     for line in chosen[-1:]:
         fields = line.fields
-        if fields.get("load", 0) > _LATE_LOAD * fields.get("mean_load", 0) + 1:
+        if fields.get("load", 0) > _HIGH_LOAD_RATIO * fields.get("mean_load", 0) + 1:
             reasons.append("Its endpoint had clearly more in flight than the others.")
-        if fields.get("reading_tokens", 0) > _LATE_READING_TOKENS:
+        if fields.get("reading_tokens", 0) > _SLOW_PREFILL_TOKENS:
             reasons.append(f"It waited behind {fields['reading_tokens']} prompt tokens.")
         lacking = fields.get("prompt_tokens", 0) - fields.get("held_tokens", 0)
-        if lacking > _LATE_READING_TOKENS:
+        if lacking > _SLOW_PREFILL_TOKENS:
             reasons.append(f"Its endpoint had to read {lacking} tokens of its prompt.")
     return " ".join(reasons) or "Nothing in its choices explains a delay.", []
 
 
-def _no_end(around: _Around) -> _Cause:
-    restarted = around.after(events.Event.DAEMON_STARTED)
+def _explain_missing_end(log: _RequestLog) -> _Cause:
+    restarted = log.first_after_end(events.Event.DAEMON_STARTED)
     if restarted:
         return (
             "Its box ended without a word while it was under way and started again later: whether "
--- a/src/croftpulley/observe/losses.py
+++ b/src/croftpulley/observe/losses.py
@@ -1,7 +1,7 @@
-"""Which requests of a day were lost or late, when and for what reason, by the routers' log lines.
+"""Counts failed, refused and late requests by time, route and reason, from routers' log lines.
 
-Pure: lines in, a table out. Only what reached a router is counted: a caller that found no box to
-connect to appears in no log. Lines that were left out under load are told beside the table.
+Pure functions: no I/O. Only requests that reached a router are counted: a caller that found no box
+to connect to appears in no log. The table has the number of log lines left out under load.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Loss(enum.Enum):
-    """What became of a request that was not served in time."""
+    """How a request was lost: answered late, failed, or refused before it ran."""
 
     LATE = "late"
     FAILED = "failed"
@@ -28,28 +28,28 @@
 
 
 @attrs.frozen(order=True)
-class Cell:
-    """One cause of loss in one span of time, on one route."""
+class LossGroup:
+    """The key of a row of the table: time window, route, kind of loss and reason."""
 
     begin_s: float
-    """Seconds after the first request of the logs."""
+    """Start of the window, in seconds after the first end of a request in the logs."""
     route: str
     loss: str
     reason: str
 
 
 @attrs.frozen
-class Table:
-    """The requests lost, by cell; how many requests ended in all, and lines that are missing."""
+class LossTable:
+    """Lost requests by group, all requests that ended, and the number of log lines left out."""
 
     window_s: float
-    losses: dict[Cell, int]
+    losses: dict[LossGroup, int]
     requests: int
     left_out: int
 
 
-def tabulate(lines: Iterable[explain.Line], window_s: float) -> Table:
-    """Split the losses of all requests by the span in which they ended, by route and reason."""
+def tabulate(lines: Iterable[explain.LogLine], window_s: float) -> LossTable:
+    """Count lost requests by the window in which they ended, route, kind of loss and reason."""
     ends = []
     left_out = 0
     for line in lines:
@@ -58,23 +58,23 @@
         if line.event == events.Event.LOG_LINES_LEFT_OUT:
             left_out += int(line.fields.get("lines", 0))
     first_s = min((time_s for time_s, _ in ends), default=0.0)
-    losses: collections.Counter[Cell] = collections.Counter()
+    losses: collections.Counter[LossGroup] = collections.Counter()
     for time_s, line in ends:
-        lost = _lost(line)
-        if lost is not None:
-            loss, reason = lost
+        classified = _classify_loss(line)
+        if classified is not None:
+            loss, reason = classified
             begin_s = window_s * ((time_s - first_s) // window_s)
             route = str(line.fields.get("route", ""))
-            losses[Cell(begin_s, route, loss.value, reason)] += 1
-    return Table(window_s, dict(sorted(losses.items())), len(ends), left_out)
+            losses[LossGroup(begin_s, route, loss.value, reason)] += 1
+    return LossTable(window_s, dict(sorted(losses.items())), len(ends), left_out)
 
 
 def _time_s(text: str) -> float:
     return datetime.datetime.strptime(text, _TIME_FORMAT).replace(tzinfo=datetime.UTC).timestamp()
 
 
-def _lost(line: explain.Line) -> tuple[Loss, str] | None:
-    """Return how the request was lost and why, or nothing if it was served in time."""
+def _classify_loss(line: explain.LogLine) -> tuple[Loss, str] | None:
+    """Return the kind of loss and its reason, or ``None`` if the request was served in time."""
     fields = line.fields
     code = str(fields.get("code", ""))
     attempts = int(fields.get("attempts", 0))
--- a/src/croftpulley/observe/series.py
+++ b/src/croftpulley/observe/series.py
@@ -1,8 +1,8 @@
 """Prometheus series of a daemon, with histograms per workspace and class.
 
-The number of label values is bounded: the first ``workspace_limit`` workspaces seen get a label
-of their own and the rest share ``other``, so that a box that meets 2,800 workspaces cannot
-outgrow its memory.
+The number of label values is limited: the first ``workspace_limit`` workspaces seen get a label
+of their own and the rest share ``other``, so that a box that sees 2,800 workspaces doesn't run out
+of memory.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from croftpulley.observe import metrics
 
-OTHER = "other"
+OTHER_LABEL = "other"
 _LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0)
 
 
 class BoundedLabel:
-    """Maps names to label values, no more than ``limit`` of them.
+    """Maps names to at most ``limit`` label values of their own; later names map to ``other``.
 
     >>> label = BoundedLabel(1)
     >>> label.of("clinic"), label.of("farm"), label.of("clinic")
@@ -27,17 +27,17 @@
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._known: set[str] = set()
+        self._names: set[str] = set()
         self._lock = threading.Lock()
 
     def of(self, name: str) -> str:
         """Return the label value for ``name``."""
-        if name in self._known:
+        if name in self._names:
             return name
         with self._lock:
-            if len(self._known) >= self._limit:
-                return OTHER
-            self._known.add(name)
+            if len(self._names) >= self._limit:
+                return OTHER_LABEL
+            self._names.add(name)
         return name
 
 
@@ -46,27 +46,27 @@
 
     def __init__(self, workspace_limit: int) -> None:
         self.registry = prometheus.CollectorRegistry()
-        self._workspace = BoundedLabel(workspace_limit)
+        self._workspace_label = BoundedLabel(workspace_limit)
         prometheus.ProcessCollector(registry=self.registry)
-        per_class = ["workspace", "request_class"]
+        class_labels = ["workspace", "request_class"]
         self._first_token = prometheus.Histogram(
             "croftpulley_first_token_seconds",
             "From the request's arrival to its first text.",
-            per_class,
+            class_labels,
             buckets=_LATENCY_BUCKETS_S,
             registry=self.registry,
         )
-        self._request = prometheus.Histogram(
+        self._request_duration = prometheus.Histogram(
             "croftpulley_request_seconds",
             "From the request's arrival to its end.",
-            per_class,
+            class_labels,
             buckets=_LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self._results = prometheus.Counter(
             "croftpulley_results",
             "Requests ended, by result code.",
-            [*per_class, "code"],
+            [*class_labels, "code"],
             registry=self.registry,
         )
         self._prompt_tokens = prometheus.Counter(
@@ -110,7 +110,7 @@
             ["workspace", "urgency", "outcome"],
             registry=self.registry,
         )
-        self._waited_for_room = prometheus.Histogram(
+        self._permit_wait = prometheus.Histogram(
             "croftpulley_waited_for_room_seconds",
             "How long requests waited for a permit that got one.",
             ["urgency"],
@@ -179,7 +179,7 @@
             ["path"],
             registry=self.registry,
         )
-        # Looked up once: this is counted for every chunk.
+        # Cached, as this counter is incremented for every chunk.
         self._chunks_by_path = {path: self._chunks.labels(path) for path in metrics.RELAY_PATHS}
         self._streams_open = prometheus.Gauge(
             "croftpulley_streams_open", "Requests in flight at this box.", registry=self.registry
@@ -210,112 +210,114 @@
         )
 
     def streams_open(self, count: int) -> None:
-        """Record how many requests are in flight."""
+        """Record the number of requests in flight."""
         self._streams_open.set(count)
 
-    def first_token(self, workspace: str, request_class: str, seconds_s: float) -> None:
-        """Record how long the first text took."""
-        self._first_token.labels(self._workspace.of(workspace), request_class).observe(seconds_s)
+    def first_token(self, workspace: str, request_class: str, duration_s: float) -> None:
+        """Record the time from a request's arrival to its first text."""
+        self._first_token.labels(self._workspace_label.of(workspace), request_class).observe(
+            duration_s
+        )
 
     def request_ended(
-        self, workspace: str, request_class: str, code: str, seconds_s: float
+        self, workspace: str, request_class: str, code: str, duration_s: float
     ) -> None:
-        """Record the end of a request."""
-        label = self._workspace.of(workspace)
-        self._request.labels(label, request_class).observe(seconds_s)
+        """Record the result code and duration of a request."""
+        label = self._workspace_label.of(workspace)
+        self._request_duration.labels(label, request_class).observe(duration_s)
         self._results.labels(label, request_class, code).inc()
 
     def prompt_tokens(self, workspace: str, prompt: int, cached: int) -> None:
-        """Record how many prompt tokens an engine had to read and how many it had cached."""
-        label = self._workspace.of(workspace)
+        """Record a prompt's tokens, and how many of them the engine had cached."""
+        label = self._workspace_label.of(workspace)
         self._prompt_tokens.labels(label, "yes").inc(cached)
         self._prompt_tokens.labels(label, "no").inc(prompt - cached)
 
     def control_bytes(self, kind: str, sent: int, received: int) -> None:
-        """Record the payload bytes of one exchange between our processes."""
+        """Record the payload bytes of one exchange between Croftpulley processes."""
         self._control_bytes.labels(kind, "sent").inc(sent)
         self._control_bytes.labels(kind, "received").inc(received)
 
     def control_failed(self, kind: str) -> None:
-        """Record a message to another of our processes that got no answer."""
+        """Record a message to another Croftpulley process that got no answer."""
         self._control_failures.labels(kind).inc()
 
     def entries_spoiled(self, defect: str, count: int) -> None:
-        """Record entries of one reading of the platform's list that name no endpoint."""
+        """Record unusable entries found in one read of the platform's list, by defect."""
         self._entries_spoiled.labels(defect).inc(count)
 
     def repeat(self, is_granted: bool) -> None:
-        """Record that the shared budget granted a repeat, or held it back."""
+        """Record whether the shared retry budget granted a retry."""
         self._repeats.labels("granted" if is_granted else "held_back").inc()
 
     def notice(self, kind: str) -> None:
-        """Record that an endpoint said something of itself in an answer."""
+        """Record that an endpoint announced something about itself in a response."""
         self._notices.labels(kind).inc()
 
     def unread(self, size_bytes: int) -> None:
-        """Record how much waits for callers that have not taken it yet."""
+        """Record the bytes buffered for callers that have not read them yet."""
         self._unread.set(size_bytes)
 
     def admission(self, workspace: str, urgency: int, outcome: str) -> None:
-        """Record what became of a request that asked for a permit."""
-        self._admissions.labels(self._workspace.of(workspace), urgency, outcome).inc()
+        """Record the outcome of a request for a permit."""
+        self._admissions.labels(self._workspace_label.of(workspace), urgency, outcome).inc()
 
-    def waited_for_room(self, urgency: int, seconds_s: float) -> None:
-        """Record how long a request waited for a permit."""
-        self._waited_for_room.labels(urgency).observe(seconds_s)
+    def waited_for_room(self, urgency: int, duration_s: float) -> None:
+        """Record how long a request waited for a permit that it got."""
+        self._permit_wait.labels(urgency).observe(duration_s)
 
     def held_back(self, bar: str) -> None:
-        """Record that a request was held back from its endpoint at the last moment."""
+        """Record that a request was not sent to its chosen endpoint, and what barred it."""
         self._held_back.labels(bar).inc()
 
     def withdrawn(self, pool: str, resting: int, leaving: int) -> None:
-        """Record how many endpoints of a pool want no requests from this box now."""
+        """Record how many endpoints of a pool want no requests from this box, by reason."""
         self._withdrawn.labels(pool, "rest").set(resting)
         self._withdrawn.labels(pool, "leaving").set(leaving)
 
     def out_of_reach(self, pool: str, is_lost: bool) -> None:
-        """Record whether this box reaches no endpoint of a pool."""
+        """Record whether this box can reach no endpoint of a pool."""
         self._out_of_reach.labels(pool).set(int(is_lost))
 
     def hop(self, pool: str, outcome: str) -> None:
-        """Record what became of a request that was handed to another box, or by one."""
+        """Record the outcome of a request passed to another box, or taken from one."""
         self._hops.labels(pool, outcome).inc()
 
     def taken_up(self, pool: str, outcome: str) -> None:
-        """Record what is known of a stream that a caller takes up."""
+        """Record what is known of the origin of a stream that a caller resumes."""
         self._taken_up.labels(pool, outcome).inc()
 
     def origins_told(self, outcome: str, count: int) -> None:
-        """Record streams of which another box was told, or was lost when told."""
+        """Record stream origins announced to another box, by whether it accepted them."""
         self._origins_told.labels(outcome).inc(count)
 
     def endpoint_ended(self, sign: str) -> None:
-        """Record that an endpoint ended with requests, by the sign that showed it."""
+        """Record that an endpoint with requests crashed, by the sign that showed it."""
         self._endpoints_ended.labels(sign).inc()
 
     def suspect(self, verdict: str) -> None:
-        """Record what became of a request under which endpoints ended."""
+        """Record the verdict on a request that is suspected of crashing endpoints."""
         self._suspects.labels(verdict).inc()
 
     def chunks_relayed(self, path: str, count: int) -> None:
-        """Record engine chunks passed on."""
+        """Record engine chunks relayed to callers, by path."""
         self._chunks_by_path[path].inc(count)
 
     def arm_request(self, arm: str, result: str) -> None:
-        """Record the end of a request that falls to an operators' arm."""
+        """Record the result of a request assigned to an operators' arm."""
         self._arm_requests.labels(arm, result).inc()
 
     def arm_tokens(self, arm: str, held: int, read: int) -> None:
-        """Record how much of a prompt the chosen endpoint holds and how much it must read."""
+        """Record how many tokens of a prompt the endpoint has cached, and must prefill."""
         self._arm_tokens.labels(arm, "yes").inc(held)
         self._arm_tokens.labels(arm, "no").inc(read)
 
     def arm_decision(self, arm: str, decision: str) -> None:
-        """Record what an arm's program decided."""
+        """Record the decision of an arm's program."""
         self._arm_decisions.labels(arm, decision).inc()
 
     def engine_outstanding(self, engine: str, outstanding: int) -> None:
-        """Record the outstanding count of an engine that this box owns."""
+        """Record the number of requests outstanding at an engine that this box owns."""
         self._outstanding.labels(engine).set(outstanding)
 
     def engine_forgotten(self, engine: str) -> None:
@@ -323,5 +325,5 @@
         self._outstanding.remove(engine)
 
     def render(self) -> bytes:
-        """Return the text that a Prometheus server scrapes."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus.generate_latest(self.registry)
--- a/src/croftpulley/steps.py
+++ b/src/croftpulley/steps.py
@@ -1,4 +1,4 @@
-"""Steps that turn an exchange into a reply, and their linking into a chain."""
+"""Processing steps that turn an exchange into a reply, and chains of them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 class Step(abc.ABC, Generic[E, R]):
     """One step of a chain that turns an exchange into a reply.
 
-    A step may answer itself, raise `errors.CroftpulleyError`, or call ``proceed`` for the rest of
-    the chain, more than once if it retries.
+    A step may return a reply of its own, raise `errors.CroftpulleyError`, or call ``proceed`` to
+    run the rest of the chain, more than once if it retries.
     """
 
     @abc.abstractmethod
     def handle(self, exchange: E, proceed: Callable[[E], R]) -> R:
-        """Handle one exchange."""
+        """Return the reply to one exchange."""
 
 
 def link(steps: Sequence[Step[E, R]]) -> Callable[[E], R]:
-    """Link steps into one function; the last one is handed a ``proceed`` that it may not call."""
-    proceed: Callable[[E], R] = _past_the_end
+    """Return a function that runs the steps in order.
+
+    The last step must not call ``proceed``, which raises `RuntimeError` there.
+    """
+    proceed: Callable[[E], R] = _fail_past_last_step
     for each in reversed(steps):
         proceed = _bind(each, proceed)
     return proceed
@@ -34,5 +37,5 @@
     return lambda exchange: each.handle(exchange, proceed)
 
 
-def _past_the_end(_exchange: object) -> NoReturn:
+def _fail_past_last_step(_exchange: object) -> NoReturn:
     raise RuntimeError("the last step of the chain called proceed")
--- a/testing/observe/test_losses.py
+++ b/testing/observe/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of a day's losses from log lines."""
+"""Tests of the table of lost requests made from log lines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 Event = events.Event
 
 
-def text(event, second, **fields):
+def log_line(event, second, **fields):
     time = f"2026-01-01 10:00:{second:02},250"
     document = {"time": time, "box": "r", "event": event.value, "event_name": event.name.lower()}
     return orjson.dumps(document | fields).decode()
@@ -20,15 +20,15 @@
 
 def answered(second=0, **fields):
     given = {"route": "chat", "status": 200, "code": "OK", "attempts": 1, "first_s": 0.1}
-    return text(Event.REQUEST_ANSWERED, second, **given | {"objective_s": 0.4} | fields)
+    return log_line(Event.REQUEST_ANSWERED, second, **given | {"objective_s": 0.4} | fields)
 
 
 def refused(second=0, **fields):
     given = {"route": "chat", "code": "NO_LEASE", "run_state": "not_run", "attempts": 0}
-    return text(Event.REQUEST_REFUSED, second, **given | fields)
+    return log_line(Event.REQUEST_REFUSED, second, **given | fields)
 
 
-def table(*lines):
+def tabulate_lines(*lines):
     return losses.tabulate(explain.read(lines), window_s=2.0)
 
 
@@ -44,26 +44,26 @@
     ],
 )
 def test_each_loss_has_its_reason(line, loss, reason):
-    assert table(line).losses == {losses.Cell(0.0, "chat", loss, reason): 1}
+    assert tabulate_lines(line).losses == {losses.LossGroup(0.0, "chat", loss, reason): 1}
 
 
-def test_what_was_in_time_is_counted_but_no_loss():
-    made = table(answered(), answered(status=404))
-    assert made.requests == 2
-    assert not made.losses
+def test_requests_served_in_time_are_counted_but_are_no_losses():
+    table = tabulate_lines(answered(), answered(status=404))
+    assert table.requests == 2
+    assert not table.losses
 
 
-def test_losses_stand_in_the_span_in_which_they_ended():
-    made = table(answered(5), refused(6), refused(7), refused(9))
-    assert [(cell.begin_s, count) for cell, count in made.losses.items()] == [
+def test_losses_are_grouped_by_the_window_in_which_they_ended():
+    table = tabulate_lines(answered(5), refused(6), refused(7), refused(9))
+    assert [(cell.begin_s, count) for cell, count in table.losses.items()] == [
         (0.0, 1),
         (2.0, 1),
         (4.0, 1),
     ]
 
 
-def test_lines_that_are_missing_are_told():
-    assert table(text(Event.LOG_LINES_LEFT_OUT, 1, lines=7)).left_out == 7
+def test_left_out_log_lines_are_counted():
+    assert tabulate_lines(log_line(Event.LOG_LINES_LEFT_OUT, 1, lines=7)).left_out == 7
 
 
 @pytest.mark.parametrize("option", [[], ["--json"]])
--- a/testing/observe/test_put_off.py
+++ b/testing/observe/test_put_off.py
@@ -1,4 +1,4 @@
-"""Metrics that are recorded before the library that exposes them is loaded."""
+"""Tests of metrics that are recorded before the Prometheus library is loaded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from croftpulley.observe import metrics
 
 
-def test_what_was_recorded_before_the_first_scrape_is_in_it():
+def test_the_first_scrape_includes_earlier_records():
     counters = metrics.Metrics()
     counters.request_ended("clinic", "chat", "OK", 0.2)
     counters.streams_open(3)
@@ -20,16 +20,16 @@
     assert results + b" 2.0" in counters.render()
 
 
-def test_what_is_put_off_is_bounded_and_nothing_is_lost(monkeypatch):
-    monkeypatch.setattr(metrics, "MOST_PUT_OFF", 10)
+def test_deferred_records_are_limited_and_none_is_lost(monkeypatch):
+    monkeypatch.setattr(metrics, "MAX_DEFERRED_RECORDS", 10)
     counters = metrics.Metrics()
     for _ in range(25):
         counters.control_failed("kind")
-    assert counters._put_off == []
+    assert counters._deferred == []
     assert b'croftpulley_control_failures_total{kind="kind"} 25.0' in counters.render()
 
 
-def test_threads_that_record_while_it_is_loaded_lose_nothing():
+def test_records_made_while_the_library_is_loaded_are_not_lost():
     counters = metrics.Metrics()
     threads = [
         threading.Thread(target=lambda: [counters.control_failed("k") for _ in range(500)])
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -1,10 +1,9 @@
-"""What a box believes of time after it was suspended.
+"""Tests of leases, deadlines and other times after a suspension of the machine.
 
-What users told: a box may be suspended for seconds, and its steady clock doesn't count them. What
-would happen then: a box that wakes up finds its lease as fresh as when it was suspended, serves by
-a configuration that has been replaced and honours keys that were taken away after the others had
-waited its lease out; a control box believes that it still leads. The cause: leases and authority
-were read from a clock that stands still in a suspension.
+Users reported that a box may be suspended for seconds, which its monotonic clock doesn't count.
+Leases and leader leases were checked with that clock. A box that woke up would treat its lease as
+still valid, use a replaced configuration and accept keys that were removed after the others had
+waited for its lease to expire; a control box would believe that it still leads.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a function after which all has stood still but the clocks that count a suspension."""
+    """Return a function that advances only the clock that counts time spent suspended."""
     started = time.clock_gettime(time.CLOCK_MONOTONIC)
     passed = {time.CLOCK_BOOTTIME: 0.0}
     monkeypatch.setattr(time, "monotonic", lambda: started)
@@ -42,7 +41,7 @@
     return clocks.SystemClock()
 
 
-def test_a_lease_ends_while_its_holder_is_suspended(suspend, clock):
+def test_a_lease_expires_while_its_holder_is_suspended(suspend, clock):
     lease = leases.HeldLease(margin_s=0.1)
     lease.record_renewal(clock.monotonic_s(), 3.0)
     assert lease.is_valid(clock.monotonic_s())
@@ -50,14 +49,14 @@
     assert not lease.is_valid(clock.monotonic_s())
 
 
-def test_a_leader_has_no_authority_after_a_suspension(suspend, clock):
-    standing = replica_standing.ReplicaStatus(authority_until_s=clock.monotonic_s() + 0.4)
-    assert standing.has_authority(clock.monotonic_s())
+def test_a_leader_lease_expires_in_a_suspension(suspend, clock):
+    status = replica_standing.ReplicaStatus(authority_until_s=clock.monotonic_s() + 0.4)
+    assert status.has_authority(clock.monotonic_s())
     suspend()
-    assert not standing.has_authority(clock.monotonic_s())
+    assert not status.has_authority(clock.monotonic_s())
 
 
-def test_a_router_uses_no_share_of_the_extra_after_a_suspension(suspend, clock):
+def test_a_share_of_extra_retries_expires_in_a_suspension(suspend, clock):
     now_s = clock.monotonic_s()
     share = retry_budget.ExtraShare(boxes=2, from_s=now_s, until_s=now_s + 3.0)
     assert share.fraction(clock.monotonic_s()) == 0.5
@@ -65,28 +64,28 @@
     assert share.fraction(clock.monotonic_s()) == 0.0
 
 
-def test_a_refusal_of_a_suspect_goes_on_running_in_a_suspension(suspend, clock):
+def test_the_refusal_of_a_suspect_expires_in_a_suspension(suspend, clock):
     known = suspicion.Suspicion(clock, metrics.Metrics())
-    told = suspect_messages.SuspectSummary("f", 3, refused_for_s=SUSPENDED_S)
-    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(told,)))
+    summary = suspect_messages.SuspectSummary("f", 3, refused_for_s=SUSPENDED_S)
+    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
     assert known.standing("f").refused_for_s == pytest.approx(SUSPENDED_S)
     suspend()
     assert known.standing("f").refused_for_s == 0.0
 
 
 def test_a_deadline_passes_in_a_suspension(suspend, clock):
-    watch = streams.Streams(1, clock, metrics.Metrics())
+    watched_streams = streams.Streams(1, clock, metrics.Metrics())
     token = cancel.CancelToken()
-    watch.watch(streams.Watched(token, clock.monotonic_s() + 5.0, lambda: False))
-    watch.sweep()
+    watched_streams.watch(streams.Watched(token, clock.monotonic_s() + 5.0, lambda: False))
+    watched_streams.sweep()
     assert token.reason is None
     suspend()
-    watch.sweep()
+    watched_streams.sweep()
     assert token.reason is codes.ResultCode.DEADLINE_PASSED
 
 
 class _OneBoxClock(clocks.SystemClock):
-    """The clock of one box among others that are not suspended."""
+    """The clock of a box that is suspended while other boxes are not."""
 
     suspended_s = 0.0
 
@@ -94,7 +93,7 @@
         return super().monotonic_s() + self.suspended_s
 
 
-def test_a_router_that_wakes_up_serves_no_key_before_it_has_renewed(make_site):
+def test_a_router_with_an_expired_lease_refuses_requests_after_a_suspension(make_site):
     site = make_site()
     clock = _OneBoxClock()
     site.routers[0].stop()
--- a/testing/test_logs.py
+++ b/testing/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are bounded, go to standard output, and are never waited for."""
+"""Tests of the logs: limits on lines, no blocking of callers, valid JSON."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from croftpulley.observe import events, logs
 
 
-def made(stream, lines_a_s):
-    handler = logs.BoundedHandler(stream, lines_a_s)
+def make_handler(stream, max_lines_per_s):
+    handler = logs.BoundedHandler(stream, max_lines_per_s)
     handler.setFormatter(json_log.JsonFormatter())
     logger = logging.Logger("test")
     logger.addHandler(handler)
     return handler, logger
 
 
-def test_what_is_left_out_is_counted_in_the_log(monkeypatch):
+def test_dropped_lines_are_counted_in_the_log(monkeypatch):
     now = [0.0]
     monkeypatch.setattr(logs.time, "monotonic", lambda: now[0])
     stream = io.StringIO()
-    handler, logger = made(stream, 3)
+    handler, logger = make_handler(stream, 3)
     for number in range(10):
         logger.info("line", extra={"number": number})
     now[0] = 1.0
@@ -39,33 +39,34 @@
     assert lines[4]["message"] == "later"
 
 
-def test_failures_go_before_successes():
+def test_warnings_have_a_budget_besides_that_of_ordinary_lines():
     budget = log_budget.LogBudget(5)
     ordinary = [budget.take(logging.INFO, 0.0) for _ in range(10)]
     warnings = [budget.take(logging.WARNING, 0.0) for _ in range(10)]
     assert (sum(ordinary), sum(warnings)) == (5, 5)
 
 
-def test_a_reader_that_does_not_read_holds_nobody_up():
-    class Stuck(io.StringIO):
+def test_a_blocked_stream_does_not_block_logging():
+    class BlockedStream(io.StringIO):
         released = threading.Event()
 
         def write(self, text):
-            Stuck.released.wait()
+            BlockedStream.released.wait()
             return super().write(text)
 
-    handler, logger = made(Stuck(), 10**9)
+    handler, logger = make_handler(BlockedStream(), 10**9)
     for _ in range(5000):
         logger.info("line")
-    Stuck.released.set()
+    BlockedStream.released.set()
     handler.close()
 
 
-def test_an_answer_that_was_broken_off_on_purpose_has_no_second_line():
-    # The server's traceback of 4 KB a cut stream filled the budget of lines in a burst of failures.
+def test_an_error_with_a_result_code_is_not_logged_again():
+    # The server logged a 4 KB traceback for each stream that was broken off on purpose. In a burst
+    # of failures these used up the budget of lines.
     stream = io.StringIO()
-    handler, logger = made(stream, 10)
-    logger.addFilter(logs.AlreadyTold())
+    handler, logger = make_handler(stream, 10)
+    logger.addFilter(logs.ReportedErrorFilter())
     for failure in (
         errors.CroftpulleyError(codes.ResultCode.WORKER_BROKE, "told before"),
         ValueError("not told before"),
@@ -79,8 +80,8 @@
     assert "not told before" in stream.getvalue()
 
 
-def test_a_time_that_never_was_is_null_and_the_line_valid_json(caplog):
-    # Refusals of a box that never had a lease carried -Infinity, and readers dropped the line.
+def test_infinite_values_are_logged_as_null(caplog):
+    # A box that never had a lease logged -Infinity, which isn't JSON, and readers dropped the line.
     events.emit(
         logging.getLogger("test"),
         events.Event.LEASE_LOST,
@@ -91,5 +92,9 @@
     )
     (record,) = caplog.records
     line = json_log.JsonFormatter("%(message)s").format(record)
-    told = orjson.loads(line)
-    assert (told["lease_left_s"], told["loads_age_s"], told["after_s"]) == (None, None, 0.5)
+    document = orjson.loads(line)
+    assert (document["lease_left_s"], document["loads_age_s"], document["after_s"]) == (
+        None,
+        None,
+        0.5,
+    )
