--- a/src/croftpulley/settings/__init__.py
+++ b/src/croftpulley/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one daemon and the fleet's agreed configuration: classes and checked loading."""
+"""Settings of the daemons and the fleet's configuration: classes, loading and validation."""
--- a/src/croftpulley/settings/changes.py
+++ b/src/croftpulley/settings/changes.py
@@ -1,4 +1,4 @@
-"""What becomes of settings that change while a program runs."""
+"""Which changes of settings a running program applies, and which need a restart."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 import attrs
 
 USED_AT_ONCE = frozenset({"control_addresses", "log_level", "seeds", "targets"})
-"""Settings that a running program takes over: where it finds control boxes, and what it logs. All
-others name sockets, files and limits that are made once, at its start."""
+"""Settings that a running program reloads: where it finds control boxes, and what it logs. All
+others name sockets, files and limits that it sets up once, at its start."""
 
 
 @attrs.frozen
 class Changes:
-    """The names of settings that differ: those used at once, and those that wait for a restart."""
+    """Names of the settings that differ: those applied at once and those that need a restart."""
 
     at_once: tuple[str, ...] = ()
     at_restart: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
-        """Tell whether anything differs."""
+        """Return whether any setting differs."""
         return bool(self.at_once or self.at_restart)
 
 
 def between(before: Any, after: Any) -> Changes:
-    """Compare two settings of one class.
+    """Compare two settings objects of one class.
 
     >>> @attrs.frozen
     ... class Example:
@@ -45,6 +45,6 @@
 
 
 def used(in_use: Any, after: Any) -> Any:
-    """Return ``in_use`` with what ``after`` changes at once."""
+    """Return ``in_use`` with the reloadable settings of ``after``."""
     changed = between(in_use, after).at_once
     return attrs.evolve(in_use, **{name: getattr(after, name) for name in changed})
--- a/src/croftpulley/settings/fleet.py
+++ b/src/croftpulley/settings/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's agreed configuration: what operators submit and every router obeys."""
+"""The fleet's configuration, which operators submit and every router applies."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestClass:
-    """A class of requests; a larger ``priority`` goes first at the engine."""
+    """A class of requests; engines run those of a larger ``priority`` first."""
 
     name: str
     priority: int = 0
@@ -42,10 +42,10 @@
 
 @attrs.frozen(kw_only=True)
 class Workspace:
-    """A customer: its limit of requests in flight at one entry box, and the keys of its callers.
+    """A customer: the keys of its callers, and its limit of requests in flight at one entry box.
 
-    ``priority`` ranks customers before routes; 0 is the most urgent. Its requests run in its
-    ``home_regions`` only; none binds nothing.
+    ``priority`` takes precedence over the priority of routes; 0 is the most urgent. If it has
+    ``home_regions``, its requests run only there.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class Model:
-    """A model that callers name and the pool of engines that serves it."""
+    """A model that callers request by name, and the pool of engines that serves it."""
 
     name: str
     pool: str
@@ -65,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A plain service, the pool of its workers and which calls may not be repeated."""
+    """A service that is not a model: the pool of its workers and the calls that must not repeat."""
 
     name: str
     pool: str
@@ -73,19 +73,19 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be done with a request whose fate is not known."""
+    """Whether a request may run again if its outcome is unknown."""
 
     REPEATABLE = "repeatable"
     """It may run more than once."""
     ONCE = "once"
     """It may run at most once."""
     STREAM = "stream"
-    """Its answer is an event stream; it may run once, unless the route lets streams resume."""
+    """Responds with an event stream; may run once, unless the route's streams are resumable."""
 
 
 @attrs.frozen(kw_only=True)
 class Share:
-    """A pool's part of a route's requests; shares count in proportion."""
+    """The share of a route's requests that goes to a pool, in proportion to its weight."""
 
     pool: str
     weight: int = attrs.field(default=1, validator=_not_negative)
@@ -93,14 +93,20 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Requests of one host below one path, passed on as they are.
-
-    ``time_limit_ms`` is how long a request may be held, ``objective_ms`` when its answer (a
-    stream: the first event) is in time, ``gap_ms`` the longest pause between events that is in
-    time. ``attempts`` is at how many endpoints it may run. ``open`` routes need no key.
-    ``sticky`` requests name the parts of their prompt and should go where those are cached.
-    ``resumable`` streams may go on at another endpoint. Priority 0 is the most urgent. Requests run
-    in ``home_regions`` only, and in those of their workspace; none binds nothing.
+    """Requests for one host under one path prefix, forwarded unchanged.
+
+    Attributes:
+        time_limit_ms: Maximum time that a request may take.
+        objective_ms: Target time to the response, or to the first event of a stream.
+        gap_ms: Target for the longest pause between the events of a stream.
+        priority: 0 is the most urgent.
+        attempts: Maximum number of endpoints at which a request may run.
+        open: Whether requests need no key.
+        sticky: Whether requests name the parts of their prompt; they prefer endpoints that have
+            these cached.
+        resumable: Whether streams may continue at another endpoint.
+        home_regions: If not empty, requests run only in these regions. Those of the workspace
+            apply as well.
     """
 
     name: str
@@ -120,25 +126,26 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run again when its fate is not known."""
+        """Return whether a request may run again if its outcome is unknown."""
         return self.is_resumable_stream or self.kind is RouteKind.REPEATABLE
 
     @property
     def is_resumable_stream(self) -> bool:
-        """Tell whether its answers are streams that may go on at another endpoint."""
+        """Return whether responses are streams that may continue at another endpoint."""
         return self.kind is RouteKind.STREAM and self.resumable
 
     @property
     def is_split(self) -> bool:
-        """Tell whether its requests go to several pools."""
+        """Return whether more than one pool gets requests of the route."""
         return sum(bool(share.weight) for share in self.shares) > 1
 
 
 @attrs.frozen(kw_only=True)
 class Pool:
-    """Endpoints that routes send to; ``slots`` and ``cache_tokens`` are of one, 0 if unknown.
+    """Endpoints that serve the same requests.
 
-    ``cold_per_s`` is how many requests a second one takes that is cold; 0 sets no bound.
+    ``slots`` and ``cache_tokens`` are the capacity of one endpoint, 0 if unknown. ``cold_per_s`` is
+    the maximum number of requests per second that a cold endpoint gets; 0 sets no limit.
     """
 
     name: str
@@ -151,10 +158,10 @@
 
 @attrs.frozen(kw_only=True)
 class Arm:
-    """A share of the chats and the programs that decide for it (``docs/POLICIES.md``).
+    """One arm of a policy experiment: a share of the chats and its programs (``docs/POLICIES.md``).
 
-    ``score`` and ``admit`` are programs; empty, the built-in rule decides. An arm with ``acts``
-    false decides and is counted, and the built-in rule is obeyed.
+    ``score`` and ``admit`` are programs; if one is empty, the built-in rule is used. The decisions
+    of an arm whose ``acts`` is false are only counted, and the built-in rule is applied.
     """
 
     name: str
@@ -166,7 +173,7 @@
 
 @attrs.frozen(kw_only=True)
 class WireLimits:
-    """What a caller of a route may send and how long it may take, changed while running."""
+    """Limits on the size and the timing of callers' requests; routers apply changes at once."""
 
     header_size_bytes: int = attrs.field(default=32_768, validator=_positive)
     body_size_bytes: int = attrs.field(default=1_048_576, validator=_positive)
@@ -176,9 +183,9 @@
 
 @attrs.frozen(kw_only=True)
 class FleetConfiguration:
-    """One version of the configuration. ``version`` 0 means none has been submitted.
+    """One version of the configuration; ``version`` 0 means that none was submitted.
 
-    Callers need a key on routes that are not open once there is any workspace.
+    If there is any workspace, callers need a key on routes that are not open.
     """
 
     version: int = 0
@@ -193,33 +200,36 @@
     limits: WireLimits = WireLimits()
 
     def request_class(self, name: str) -> RequestClass | None:
-        """Return the class called ``name``, or the first for an empty name."""
+        """Return the class called ``name``, or the first for an empty name; else ``None``."""
         if not name:
             return self.classes[0] if self.classes else None
         return next((each for each in self.classes if each.name == name), None)
 
     def workspace(self, name: str) -> Workspace | None:
-        """Return the workspace called ``name``."""
+        """Return the workspace called ``name``, ``None`` if there is none."""
         return next((each for each in self.workspaces if each.name == name), None)
 
     def model(self, name: str) -> Model | None:
-        """Return the model called ``name``."""
+        """Return the model called ``name``, ``None`` if there is none."""
         return next((each for each in self.models if each.name == name), None)
 
     def service(self, name: str) -> Service | None:
-        """Return the service called ``name``."""
+        """Return the service called ``name``, ``None`` if there is none."""
         return next((each for each in self.services if each.name == name), None)
 
 
 def parse(text: str, path: str = "(submission)") -> FleetConfiguration:
-    """Parse and check a submitted document; errors as for `loader.load`."""
+    """Parse and validate a submitted document; raises as `loader.parse` and `check`."""
     configuration = loader.parse(text, FleetConfiguration, path)
     check(configuration, path)
     return configuration
 
 
 def check(configuration: FleetConfiguration, path: str = "(submission)") -> None:
-    """Raise `errors.SettingsErrorGroup` for every fault between the parts of a configuration."""
+    """Validate a configuration's references and uniqueness rules.
+
+    Raises `errors.SettingsErrorGroup` with one error for each fault.
+    """
     faults = [
         *_route_faults(configuration, path),
         *_key_faults(configuration, path),
@@ -232,14 +242,14 @@
 def _route_faults(configuration: FleetConfiguration, path: str) -> list[errors.SettingsError]:
     faults = []
     pools = {pool.name for pool in configuration.pools}
-    places: set[tuple[str, str]] = set()
+    seen_prefixes: set[tuple[str, str]] = set()
     for index, route in enumerate(configuration.routes):
         key = f"routes[{index}]"
-        place = (route.host.lower(), route.path_prefix)
-        if place in places:
-            problem = f"got host and path {place}, which another route has"
+        host_and_prefix = (route.host.lower(), route.path_prefix)
+        if host_and_prefix in seen_prefixes:
+            problem = f"got host and path {host_and_prefix}, which another route has"
             faults.append(errors.SettingsError(path, key, problem))
-        places.add(place)
+        seen_prefixes.add(host_and_prefix)
         for unknown in sorted({share.pool for share in route.shares} - pools):
             problem = f"got pool {unknown!r}, which is not among the pools"
             faults.append(errors.SettingsError(path, f"{key}.shares", problem))
@@ -251,11 +261,11 @@
 
 def _key_faults(configuration: FleetConfiguration, path: str) -> list[errors.SettingsError]:
     faults = []
-    holders: dict[str, str] = {}
+    owner_by_key: dict[str, str] = {}
     for index, workspace in enumerate(configuration.workspaces):
         for key in workspace.keys:
-            if holders.setdefault(key, workspace.name) != workspace.name:
-                problem = f"got a key that workspace {holders[key]!r} has too"
+            if owner_by_key.setdefault(key, workspace.name) != workspace.name:
+                problem = f"got a key that workspace {owner_by_key[key]!r} has too"
                 faults.append(errors.SettingsError(path, f"workspaces[{index}].keys", problem))
     return faults
 
@@ -277,7 +287,7 @@
 
 
 def made_arm(arm: Arm) -> arms.Arm:
-    """Return an arm whose programs are ready to run; raises `language.ProgramError`."""
+    """Compile the programs of an arm; raises `language.ProgramError` for one that is not valid."""
     return arms.Arm(
         name=arm.name,
         weight=arm.weight,
--- a/src/croftpulley/settings/formats.py
+++ b/src/croftpulley/settings/formats.py
@@ -1,4 +1,4 @@
-"""How a submitted document is written; the fleet keeps it as it was sent and reads it back so."""
+"""Formats of submitted configurations. The fleet stores a document unchanged and reparses it."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class DocumentFormat(abc.ABC):
-    """Turns a submitted document into a configuration."""
+    """A format in which operators submit the configuration."""
 
     @abc.abstractmethod
     def parse(self, document_json: str) -> fleet.FleetConfiguration:
-        """Parse and check; raises `errors.CroftpulleyError` (CONFIGURATION_INVALID)."""
+        """Parse and validate; raises `errors.CroftpulleyError` (CONFIGURATION_INVALID)."""
 
 
 class OwnFormat(DocumentFormat):
-    """The fleet's own: the fields of `fleet.FleetConfiguration` as JSON with comments."""
+    """The native format: the fields of `fleet.FleetConfiguration` as JSON with comments."""
 
     def parse(self, document_json: str) -> fleet.FleetConfiguration:
-        """Parse and check."""
+        """Parse and validate a document; raises as `DocumentFormat.parse`."""
         try:
             return fleet.parse(document_json)
         except errors.SettingsErrorGroup as group:
@@ -28,6 +28,6 @@
 
 
 def invalid(group: errors.SettingsErrorGroup) -> errors.CroftpulleyError:
-    """Make one error that names every fault."""
+    """Return one CONFIGURATION_INVALID error that lists every fault of ``group``."""
     faults = "; ".join(str(fault) for fault in group.exceptions)
     return errors.CroftpulleyError(codes.ResultCode.CONFIGURATION_INVALID, faults)
--- a/src/croftpulley/settings/loader.py
+++ b/src/croftpulley/settings/loader.py
@@ -1,4 +1,4 @@
-"""Loading of JSON with comments into attrs classes, with every fault reported at once."""
+"""Loads JSON with comments into attrs classes and reports all faults at once."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 T = TypeVar("T")
 
 
-def _strict(kind: type, *also: type) -> Any:
-    """Make a hook that takes a value of ``kind`` as it is and refuses any other."""
+def _strict_hook(kind: type, *also_accepted: type) -> Any:
+    """Return a hook that accepts values of ``kind`` or ``also``, without other conversions."""
 
     def hook(value: Any, _type: Any) -> Any:
         wrong_bool = isinstance(value, bool) and kind is not bool
-        if wrong_bool or not isinstance(value, (kind, *also)):
+        if wrong_bool or not isinstance(value, (kind, *also_accepted)):
             raise ValueError(f"got {value!r}, allowed is {_KIND_NAMES[kind]}")
         return kind(value)
 
@@ -32,20 +32,20 @@
 
 
 def make_converter() -> cattrs.Converter:
-    """Make a converter that refuses wrong types and unknown keys."""
+    """Return a converter that rejects wrong types and unknown keys."""
     converter = cattrs.Converter(forbid_extra_keys=True)
-    converter.register_structure_hook(str, _strict(str))
-    converter.register_structure_hook(int, _strict(int))
-    converter.register_structure_hook(float, _strict(float, int))
-    converter.register_structure_hook(bool, _strict(bool))
+    converter.register_structure_hook(str, _strict_hook(str))
+    converter.register_structure_hook(int, _strict_hook(int))
+    converter.register_structure_hook(float, _strict_hook(float, int))
+    converter.register_structure_hook(bool, _strict_hook(bool))
     converter.register_structure_hook_factory(attrs.has, lambda kind: _class_hook(kind, converter))
     return converter
 
 
 def _class_hook(kind: type, converter: cattrs.Converter) -> Any:
-    """Make the hook for an attrs class whose validators run field by field.
+    """Return the hook for an attrs class, which runs the validators field by field.
 
-    Run by the class itself they would stop at the first fault and not name the key.
+    If the class ran them itself, the first fault would end the validation, without naming its key.
     """
     overrides: Any = {
         field.name: gen.override(struct_hook=_field_hook(field, converter))
@@ -56,7 +56,7 @@
 
 
 def _field_hook(field: attrs.Attribute[Any], converter: cattrs.Converter) -> Any:
-    """Make a hook that structures one field and then runs its validator."""
+    """Return a hook that structures one field and then runs its validator."""
 
     def hook(value: Any, kind: Any) -> Any:
         structured = converter.structure(value, kind)
@@ -72,7 +72,7 @@
 def load(path: str, kind: type[T]) -> T:
     """Load the file at ``path`` as ``kind``.
 
-    Raises `errors.SettingsErrorGroup` that holds one error for each fault.
+    Raises `errors.SettingsErrorGroup` with one error for each fault.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -86,7 +86,7 @@
 
 
 def parse(text: str, kind: type[T], path: str = "(text)") -> T:
-    """Parse ``text``, which came from ``path``, as ``kind``; errors as for `load`."""
+    """Parse ``text`` as ``kind``; errors name ``path`` and are raised as by `load`."""
     try:
         document = read(text)
     except ValueError as failure:
@@ -96,21 +96,21 @@
 
 
 def read(text: str) -> Any:
-    """Read JSON, which may have comments; raises `ValueError`, also for a key that comes twice.
+    """Parse JSON with or without comments; raises `ValueError`, also for a duplicate key.
 
-    The reader of comments is written in Python and takes seconds for a configuration of a thousand
-    routes (84 kB: 1.8 s on a busy machine). A text without comments never comes to it.
+    The parser that accepts comments is written in Python and takes seconds for a configuration of a
+    thousand routes (84 kB: 1.8 s on a busy machine). Valid JSON without comments does not need it.
     """
     try:
-        return json.loads(text, object_pairs_hook=_unique_keys)
+        return json.loads(text, object_pairs_hook=_object_with_unique_keys)
     except ValueError:
-        # Not loaded where no text has comments: routers start sooner (`daemons.start_up`).
+        # Imported only if needed, so that routers start faster (`daemons.start_up`).
         import json5
 
         return json5.loads(text, allow_duplicate_keys=False)
 
 
-def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     document = dict(pairs)
     if len(document) < len(pairs):
         raise ValueError("got a key twice")
@@ -118,7 +118,7 @@
 
 
 def structure(document: Any, kind: type[T], path: str = "(document)") -> T:
-    """Check a parsed document against ``kind``; errors as for `load`."""
+    """Convert a parsed document to ``kind`` and validate it; raises as `load`."""
     if not isinstance(document, dict):
         fault = errors.SettingsError(path, "(document)", "got no object, allowed is {…}")
         raise errors.SettingsErrorGroup("settings are not valid", [fault])
@@ -130,37 +130,41 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Turn an attrs value into plain JSON types."""
+    """Convert an attrs value to plain JSON types."""
     return _CONVERTER.unstructure(value)
 
 
 def _faults(failure: BaseException, path: str, key: str) -> list[errors.SettingsError]:
-    """Flatten what the converter raised into one error for each fault."""
+    """Flatten an exception of the converter into one error for each fault."""
     if isinstance(failure, cattrs_errors.BaseValidationError):
-        return [fault for inner in failure.exceptions for fault in _inner(inner, path, key)]
+        return [
+            fault for inner in failure.exceptions for fault in _faults_at_note(inner, path, key)
+        ]
     if isinstance(failure, cattrs_errors.ForbiddenExtraKeysError):
         allowed = ", ".join(sorted(attrs.fields_dict(failure.cl)))
         return [
-            errors.SettingsError(path, _join(key, name), f"unknown key; allowed are {allowed}")
+            errors.SettingsError(path, _join_key(key, name), f"unknown key; allowed are {allowed}")
             for name in sorted(failure.extra_fields)
         ]
     if isinstance(failure, KeyError):
-        return [errors.SettingsError(path, _join(key, failure.args[0]), "missing; it is required")]
+        return [
+            errors.SettingsError(path, _join_key(key, failure.args[0]), "missing; it is required")
+        ]
     return [errors.SettingsError(path, key or "(document)", str(failure))]
 
 
-def _inner(failure: BaseException, path: str, key: str) -> list[errors.SettingsError]:
-    """Follow the note that names the attribute or index where ``failure`` arose."""
+def _faults_at_note(failure: BaseException, path: str, key: str) -> list[errors.SettingsError]:
+    """Extend ``key`` by the attribute or index in the notes of ``failure``, and flatten it."""
     for note in getattr(failure, "__notes__", []):
         if isinstance(note, cattrs.AttributeValidationNote):
             missing = isinstance(failure, KeyError) and failure.args == (note.name,)
-            return _faults(failure, path, key if missing else _join(key, note.name))
+            return _faults(failure, path, key if missing else _join_key(key, note.name))
         if isinstance(note, cattrs.IterableValidationNote):
             return _faults(failure, path, f"{key}[{note.index}]")
     return _faults(failure, path, key)
 
 
-def _join(key: str, name: str) -> str:
+def _join_key(key: str, name: str) -> str:
     return f"{key}.{name}" if key else name
 
 
--- a/src/croftpulley/settings/schema.py
+++ b/src/croftpulley/settings/schema.py
@@ -1,6 +1,6 @@
-"""Settings classes: one for each daemon. Every field carries its unit and its allowed range.
+"""Settings classes, one for each daemon. Every field has its unit in its name, and a range.
 
-``docs/SETTINGS.md`` is written from these classes; a test holds the two together.
+``docs/SETTINGS.md`` describes these classes; a test checks that the two agree.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def _between(low: float, high: float) -> Any:
-    """Make a validator that names the allowed range."""
+    """Return a validator for a range, whose error names the allowed values."""
 
     def check(_instance: object, attribute: attrs.Attribute[Any], value: float) -> None:
         if not low <= value <= high:
@@ -21,7 +21,7 @@
 
 
 def _address(_instance: object, _attribute: attrs.Attribute[Any], value: str) -> None:
-    """Check an IP number with a port."""
+    """Check an IPv4 address with a port."""
     host, separator, port = value.rpartition(":")
     parts = host.split(".")
     numeric = len(parts) == 4 and all(part.isdigit() and int(part) < 256 for part in parts)
@@ -29,7 +29,7 @@
         raise ValueError(f'got {value!r}, allowed is an IP number and a port: "127.0.0.1:8100"')
 
 
-def _address_or_none(instance: object, attribute: attrs.Attribute[Any], value: str) -> None:
+def _optional_address(instance: object, attribute: attrs.Attribute[Any], value: str) -> None:
     """Check an address that may be empty."""
     if value:
         _address(instance, attribute, value)
@@ -44,7 +44,7 @@
 
 
 def _name(_instance: object, _attribute: attrs.Attribute[Any], value: str) -> None:
-    """Check a name that is safe in labels, paths and logs."""
+    """Check that a name is safe in labels, paths and logs."""
     if not value or len(value) > 64 or not all(c.isalnum() or c in "-_." for c in value):
         raise ValueError(f"got {value!r}, allowed are 1 to 64 letters, digits, '-', '_' and '.'")
 
@@ -56,17 +56,18 @@
 
 
 OPERATOR_BODY_SIZE_BYTES = 8 * 1024 * 1024
-"""The largest configuration that an operator may send, unless settings say otherwise: some 30,000
-routes of 220 to 270 bytes. An operator does not send again what was refused as too large."""
+"""Default maximum size of a configuration that an operator submits: some 30,000 routes of 220 to
+270 bytes. Operators do not retry a submission that was rejected as too large."""
 
 
 @attrs.frozen(kw_only=True)
 class HttpLimits:
     """Limits on what a caller may send, hold open or leave unread.
 
-    A stream is read on from its endpoint while no more than ``unread_size_bytes`` of it wait for
-    its caller; one that takes nothing for ``unread_s`` is cut. New requests are refused while more
-    than ``unread_total_bytes`` wait for all callers.
+    Reading a stream from its endpoint pauses while more than ``unread_size_bytes`` of it are
+    buffered for its caller. The connection of a caller that reads nothing for ``unread_s`` is
+    closed. New requests are rejected while more than ``unread_total_bytes`` are buffered for all
+    callers.
     """
 
     body_size_bytes: int = attrs.field(default=1_048_576, validator=_between(1024, 67_108_864))
@@ -86,8 +87,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallersBoxSettings:
-    """What the settings of all boxes that take callers' requests have in common."""
+class CallerFacingBoxSettings:
+    """Settings that all boxes that accept callers' requests have in common."""
 
     box: str = attrs.field(validator=_name)
     hall: str = attrs.field(validator=_name)
@@ -101,7 +102,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EntrySettings(CallersBoxSettings):
+class EntrySettings(CallerFacingBoxSettings):
     """Settings of ``croftpulley entry``."""
 
     peer_address: str = attrs.field(validator=_address)
@@ -143,31 +144,31 @@
 
 
 @attrs.frozen(kw_only=True)
-class RouterSettings(CallersBoxSettings):
+class RouterSettings(CallerFacingBoxSettings):
     """Settings of a router: an entry box that forwards requests by the configured routes.
 
-    ``regions`` gives the region of each hall, for routes and workspaces that have homes. With
-    ``shares_room`` routers have no more requests at a pool than its slots take, and requests wait
-    for room by rank and workspace; without it they do so once an endpoint tells how long work takes
-    there now. ``peer_address`` is where other routers hand requests over whose endpoints they do
-    not reach; empty, this one takes none.
+    ``regions`` gives the region of each hall, for routes and workspaces with home regions. With
+    ``shares_room``, routers limit their requests at a pool to its slots, and further requests are
+    queued for capacity by rank and workspace. Without it, that begins when an endpoint reports how
+    long work currently takes there. ``peer_address`` is where other routers forward requests whose
+    endpoints they cannot reach; if it is empty, this router accepts none.
     """
 
     directory_address: str = attrs.field(validator=_address)
     ready_address: str = attrs.field(validator=_address)
     metrics_address: str = attrs.field(validator=_address)
-    peer_address: str = attrs.field(default="", validator=_address_or_none)
+    peer_address: str = attrs.field(default="", validator=_optional_address)
     streams: int = attrs.field(default=64, validator=_between(1, 5000))
     renew_interval_s: float = attrs.field(default=0.25, validator=_between(0.02, 60))
     renew_timeout_s: float = attrs.field(default=0.4, validator=_between(0.05, 60))
     lease_margin_s: float = attrs.field(default=0.1, validator=_between(0.0, 60))
     list_fallback_s: float = attrs.field(default=2.5, validator=_between(0.1, 600))
     entry_ttl_s: float = attrs.field(default=5.0, validator=_between(0.1, 600))
-    """An answer kept for 1 s had callers ask anew each second, and wait a second where the box that
-    they asked was down: 5 s raised worth by 0.007 to 0.034 on four days with boxes down, cut off or
-    stopped in turn (single plays side by side; with the sooner return of `rules.ELSEWHERE_RETRY_S`
-    on two of them), 3 s by 0.005 to 0.012. The users' callers keep none for longer than 5 s, some
-    for three times as long."""
+    """How long callers cache a directory answer. With 1 s they asked again each second and waited a
+    second if the box that they asked was down. 5 s raised the score by 0.007 to 0.034 on four days
+    with boxes that were down, cut off or stopped in turn (single runs side by side; on two of the
+    days with the earlier retry of `rules.ELSEWHERE_RETRY_S`), 3 s by 0.005 to 0.012. None of the
+    users' callers cache an answer for longer than 5 s, some for three times as long."""
     grace_s: float = attrs.field(default=30.0, validator=_between(0.1, 3600))
     connect_timeout_s: float = attrs.field(default=0.5, validator=_between(0.05, 60))
     silence_s: float = attrs.field(default=20.0, validator=_between(0.1, 600))
@@ -180,19 +181,20 @@
 
 @attrs.frozen(kw_only=True)
 class ReplicaSettings:
-    """Settings of a control box that shares the replicated state with others.
-
-    ``seeds`` are addresses of control boxes for each other; at the ``first_start`` of a whole fleet
-    they are the first replicas. ``peer_listen_address`` is where this box listens if others reach
-    it at ``peer_address`` by way of something in between; empty, it listens there itself. Without
-    an ``operator_token_file`` whoever reaches ``operator_address`` is an operator. ``halls`` are
-    the data halls that operators may evacuate; empty, they may name any.
+    """Settings of a control box that is a replica.
+
+    ``seeds`` are addresses at which control boxes reach each other; at the ``first_start`` of a
+    whole fleet they are the initial replicas. ``peer_listen_address`` is where this box listens if
+    others reach it through a proxy at ``peer_address``; if it is empty, the box listens at
+    ``peer_address``. Without an ``operator_token_file``, anyone who reaches ``operator_address`` is
+    treated as an operator. ``halls`` are the data halls that operators may evacuate; if it is
+    empty, they may name any.
     """
 
     box: str = attrs.field(validator=_name)
     hall: str = attrs.field(validator=_name)
     peer_address: str = attrs.field(validator=_address)
-    peer_listen_address: str = attrs.field(default="", validator=_address_or_none)
+    peer_listen_address: str = attrs.field(default="", validator=_optional_address)
     operator_address: str = attrs.field(validator=_address)
     metrics_address: str = attrs.field(validator=_address)
     data_folder: str
@@ -215,11 +217,12 @@
 
 @attrs.frozen(kw_only=True)
 class RedirectorSettings:
-    """Settings of a control box without a disk, which sends operators on.
+    """Settings of a control box without a disk, which redirects operators to other control boxes.
 
-    ``targets`` are the operator addresses of control boxes, ``control_addresses`` where they reach
-    each other: there it asks who leads, and sends operators to the leader's machine, at the port
-    that its own operator address has. Without an answer it sends them to each target in turn.
+    ``targets`` are the operator addresses of control boxes. ``control_addresses`` are where they
+    reach each other: the redirector asks there for the leader and redirects operators to the
+    leader's machine, at the port of its own operator address. Without an answer it redirects them
+    to the targets in turn.
     """
 
     box: str = attrs.field(validator=_name)
@@ -232,7 +235,7 @@
 
 @attrs.frozen(kw_only=True)
 class FakeSettings:
-    """Settings of ``croftpulley fake …``: one stand-in at one address."""
+    """Settings of ``croftpulley fake …``, a fake endpoint at one address."""
 
     name: str = attrs.field(validator=_name)
     address: str = attrs.field(validator=_address)
--- a/src/croftpulley/transport/__init__.py
+++ b/src/croftpulley/transport/__init__.py
@@ -1,1 +1,1 @@
-"""gRPC between our own processes. Generated code is in ``_generated``."""
+"""Messages between the fleet's processes, over gRPC and HTTP; ``_generated`` is generated code."""
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -1,4 +1,4 @@
-"""What routers, and they and control boxes, say to each other; JSON by `json_codec`."""
+"""HTTP messages between routers and between routers and control boxes, encoded by `json_codec`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class LeaderAnswer:
-    """Who leads, as a control box knows; empty where it knows of none."""
+    """The control leader's address, as far as a control box knows it; empty if it knows none."""
 
     leader_address: str = ""
     control_addresses: tuple[str, ...] = ()
@@ -31,18 +31,23 @@
 
 @attrs.frozen(kw_only=True)
 class BoxReport:
-    """What a router tells the leading control box at each renewal.
-
-    The versions say what it knows, so that the answer holds only what is new; ``in_flight`` is how
-    many requests it has at each endpoint, ``reading_tokens`` how many prompt tokens those endpoints
-    still have to read for them. ``notes`` say which parts were sent where, and ``next_note`` is the
-    number of the first note of others that this router lacks. ``outcomes`` are how requests ended
-    at endpoints since the report before. ``holds_lease`` tells whether it may still act on a lease.
-    ``suspects_revision`` is that of the suspects that it knows, ``halls_revision`` that of the
-    evacuated halls that it obeys. ``leaving`` are endpoints that said so themselves and that it was
-    not told of, ``resting_s`` those that want nothing from this box, and for how long.
-    ``unreached`` are the pools of which it reaches no endpoint, ``answered`` those of which it had
-    answers since the report before.
+    """State that a router reports to the control leader with each lease renewal.
+
+    Attributes:
+        configuration_version, boxes_version, endpoints_version, suspects_revision, halls_revision:
+            What the router has already, so that the answer holds only what is newer.
+            ``halls_revision`` is that of the evacuated halls.
+        holds_lease: Whether the router may still act on its lease.
+        in_flight: Number of its requests in flight by endpoint.
+        reading_tokens: Prompt tokens of its requests that are still to be prefilled, by endpoint.
+        notes: Which prompt parts it sent to which engines.
+        next_note: Number of the first note of other routers that it does not have.
+        outcomes: How requests ended by endpoint, since the previous report.
+        leaving: Endpoints that announced their shutdown to it and that the control boxes did not
+            list as leaving.
+        resting_s: Endpoints that asked it for a rest, and the rest's remaining length.
+        unreached: Pools of which it reaches no endpoint.
+        answered: Pools that answered it since the previous report.
     """
 
     box: membership.Box
@@ -65,27 +70,32 @@
 
 @attrs.frozen(kw_only=True)
 class BoxReportAnswer:
-    """What a control box answers; ``None`` means unchanged.
-
-    ``lease_s`` is 0 where none is granted: then ``leader_address`` may say who grants. ``loads``
-    are the requests in flight at each endpoint from all routers as last reported, and
-    ``reading_tokens`` what the endpoints have to read for them, in the order of the list that
-    ``endpoints_version`` names (`core.listed_counts`); without ``loads`` the router keeps all that
-    it was told of both. ``notes`` are all routers' from the
-    number that was asked for up to ``next_note``. ``held_off`` are endpoints that fail more than
-    their peers. ``configuration_version`` is the newest, which a router fetches in parts
-    (`core.configuration_transfer`): its length must not bear on the lease. ``silent_addresses`` are
-    those of the ``control_addresses`` that lately answered the leader nothing: it is not fetched
-    from there.
-    ``suspects`` are the requests under which endpoints ended, as far as they changed.
-    ``registered_boxes`` share the extra of retry budgets; each stays registered for ``kept_s``
-    after the end of its lease. ``evacuated`` are the halls whose endpoints get no requests.
-    ``cold`` says, in the order of the list, which endpoints are cold and how many requests the box
-    may send there in any second, one more than that (`core.send_quotas`). ``unreached`` is how many
-    boxes reach no endpoint of a pool, by pools, ``reaching`` some that do, for each pool that the
-    router itself has lost, and ``answering`` the pools of which other boxes had answers lately.
-    ``mixed`` are the pools whose endpoints have, or had lately, several versions; ``None`` where
-    the box cannot tell.
+    """A control box's answer to a `BoxReport`; ``None`` means unchanged.
+
+    Attributes:
+        lease_s: Duration of the lease, 0 if none is granted; ``leader_address`` may then name the
+            box that grants leases.
+        registered_boxes: Number of boxes that share the extra budget of retries.
+        kept_s: How long a box stays registered after its lease ended.
+        silent_addresses: Those of the ``control_addresses`` that have not answered the leader
+            recently; routers do not fetch the configuration from them.
+        configuration_version: The newest version. Routers fetch it in parts
+            (`core.configuration_transfer`), so that its size does not delay lease renewals.
+        loads: Requests in flight at each endpoint, from all routers as last reported, in the order
+            of the list that ``endpoints_version`` names (`core.listed_counts`). If it is ``None``,
+            the router keeps the ``loads`` and the ``reading_tokens`` that it has.
+        reading_tokens: Prompt tokens that each endpoint has yet to prefill, in the same order.
+        notes: Notes of all routers, from the requested number up to ``next_note``.
+        held_off: Endpoints that fail more often than their peers.
+        suspects: Changes to the requests under which endpoints crashed.
+        evacuated: Halls whose endpoints get no requests.
+        cold: Which endpoints are cold, in the order of the list, and how many requests the box may
+            send there per second; encoded as that quota plus one (`core.send_quotas`).
+        unreached: Number of boxes that reach no endpoint of a pool, by pool.
+        reaching: Some boxes that reach a pool, for each pool that the router cannot reach itself.
+        answering: Pools that answered other boxes recently.
+        mixed: Pools whose endpoints have, or recently had, several versions; ``None`` if the
+            control box cannot tell.
     """
 
     lease_s: float = 0.0
@@ -115,21 +125,21 @@
 
 @attrs.frozen(kw_only=True)
 class SuspectReport:
-    """What a router met of requests under which endpoints end; may be sent again."""
+    """A router's observations of requests under which endpoints end. Sending it again is safe."""
 
     report: suspect_messages.Report
 
 
 @attrs.frozen(kw_only=True)
 class SuspectReportAnswer:
-    """Whether the report is in the log; only a box that leads takes one."""
+    """Whether the report was committed to the log; only the control leader accepts reports."""
 
     is_taken: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class TrialRequest:
-    """Asks whether a suspect may be tried now; what this router has yet to report comes first."""
+    """Asks for a trial of a suspect; ``report`` is applied before the decision is made."""
 
     report: suspect_messages.Report
     fingerprint: str
@@ -140,35 +150,36 @@
 
 @attrs.frozen(kw_only=True)
 class TrialRequestAnswer:
-    """The answer to a request for a trial; ``None`` of a box that does not lead."""
+    """The answer to a `TrialRequest`; ``None`` from a box that is not the control leader."""
 
     answer: suspect_messages.TrialAnswer | None = None
 
 
 @attrs.frozen(kw_only=True)
 class OriginsTold:
-    """Streams to remember; may be sent again."""
+    """Announces the origins of streams to an origin holder. Sending it again is safe."""
 
     streams: tuple[origins.OriginAnnouncement, ...]
 
 
 @attrs.frozen(kw_only=True)
 class OriginsTaken:
-    """Says that they are remembered."""
+    """Confirms that the announced origins are stored."""
 
 
 @attrs.frozen(kw_only=True)
 class OriginAsked:
-    """Asks where a stream began."""
+    """Asks an origin holder for the origin of a stream."""
 
     stream: origins.StreamId
 
 
 @attrs.frozen(kw_only=True)
 class OriginAnswer:
-    """What the box remembers.
+    """The origin that the box stores for a stream.
 
-    ``is_known`` without an ``origin``: two were told, and neither counts.
+    ``is_known`` without an ``origin`` means that two different origins were announced, so that
+    neither is valid.
     """
 
     is_known: bool = False
--- a/src/croftpulley/transport/channels.py
+++ b/src/croftpulley/transport/channels.py
@@ -28,14 +28,14 @@
 
 
 class Channels:
-    """One channel an address, made when first asked for."""
+    """A pool with one channel for each address, opened on first use. Thread-safe."""
 
     def __init__(self) -> None:
         self._channels: dict[str, grpc.Channel] = {}
         self._lock = threading.Lock()
 
     def to(self, address: str) -> grpc.Channel:
-        """Return the channel to ``address``."""
+        """Return the channel to ``address``, opening it on first use."""
         with self._lock:
             if address not in self._channels:
                 self._channels[address] = grpc.insecure_channel(address, options=_OPTIONS)
@@ -50,15 +50,15 @@
 
 
 def make_server(threads: int) -> grpc.Server:
-    """Make a server that handles up to ``threads`` calls at once and refuses more."""
+    """Return a server that handles up to ``threads`` calls at once and rejects further ones."""
     pool = futures.ThreadPoolExecutor(max_workers=threads, thread_name_prefix="grpc")
     return grpc.server(pool, options=_SERVER_OPTIONS, maximum_concurrent_rpcs=threads)
 
 
 def bind(server: grpc.Server, address: str) -> str:
-    """Bind ``server`` to ``address`` and return the address with the port it got.
+    """Bind ``server`` to ``address`` and return the address with the assigned port.
 
-    Raises `OSError` when the address is taken.
+    Raises `OSError` if the server cannot listen there, such as when the address is in use.
     """
     try:
         port = server.add_insecure_port(address)
--- a/src/croftpulley/transport/codec.py
+++ b/src/croftpulley/transport/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to wire messages and back; nothing else knows the wire's shapes."""
+"""Conversion between typed messages and protobuf; only this module depends on the wire format."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def renewal_from_wire(request: wire.RenewRequest) -> messages.Renewal:
-    """Decode a renewal; an engines version of 0 says that no list came with it."""
+    """Decode a renewal; an ``engines_version`` of 0 means that it has no list of engines."""
     engines = tuple(_engine_from_wire(engine) for engine in request.engines)
     return messages.Renewal(
         box=box_from_wire(request.box),
--- a/src/croftpulley/transport/control_client.py
+++ b/src/croftpulley/transport/control_client.py
@@ -1,4 +1,4 @@
-"""What an entry box asks of the control boxes."""
+"""Client of the control boxes' gRPC service, for entry boxes."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 class ControlClient(abc.ABC):
-    """The replicated state as an entry box sees it.
+    """An entry box's access to the replicated state.
 
-    Every method raises `errors.CroftpulleyError` (CONTROL_UNREACHABLE) when no control box answers
-    in time; the request may then have been carried out or not.
+    Every method raises `errors.CroftpulleyError` (CONTROL_UNREACHABLE) if no control box answers in
+    time; it is then unknown whether the request was carried out.
     """
 
     @abc.abstractmethod
     def renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
-        """Renew the box's lease and learn what changed."""
+        """Renew the box's lease and return the state that changed."""
 
     @abc.abstractmethod
     def claim(self, workspace: str, key: str, digest: str, claim_id: str) -> claims.ClaimAnswer:
-        """Claim a call that may not be repeated."""
+        """Claim a call that must not run twice, under its idempotency key."""
 
     @abc.abstractmethod
     def record(self, workspace: str, key: str, outcome: claims.Outcome) -> bool:
-        """Record a claimed call's outcome; return whether it was taken."""
+        """Record a claimed call's outcome; return whether it was accepted."""
 
 
 class GrpcControlClient(ControlClient):
-    """Asks the control boxes in turn, beginning with the one that answered last."""
+    """Tries the control boxes in order, starting with the one that answered the previous call."""
 
     def __init__(
         self,
@@ -46,26 +46,26 @@
         pool: channels.Channels,
         counters: metrics.Metrics,
     ) -> None:
-        self._pool = pool
-        self._first = 0
+        self._channels = pool
+        self._preferred_index = 0
         self.use_addresses(addresses)
         self._timeout_s = timeout_s
         self._counters = counters
 
     def use_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Ask these control boxes from now on."""
-        self._stubs = [services.ControlStub(self._pool.to(address)) for address in addresses]
+        """Replace the list of control boxes."""
+        self._stubs = [services.ControlStub(self._channels.to(address)) for address in addresses]
 
     def renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
-        """Renew the box's lease and learn what changed."""
+        """Renew the box's lease and return the state that changed."""
         request = codec.renewal_to_wire(renewal)
-        reply: wire.RenewReply = self._ask("Renew", request)
+        reply: wire.RenewReply = self._call_first_reachable("Renew", request)
         return codec.renewal_answer_from_wire(reply)
 
     def claim(self, workspace: str, key: str, digest: str, claim_id: str) -> claims.ClaimAnswer:
-        """Claim a call; asking a second box is safe, since the claim id is the same."""
+        """Claim a call; a retry at another box is safe because it has the same claim id."""
         request = wire.ClaimRequest(workspace=workspace, key=key, digest=digest, claim_id=claim_id)
-        reply: wire.ClaimReply = self._ask("Claim", request)
+        reply: wire.ClaimReply = self._call_first_reachable("Claim", request)
         return codec.claim_answer_from_wire(reply)
 
     def record(self, workspace: str, key: str, outcome: claims.Outcome) -> bool:
@@ -73,20 +73,23 @@
         request = wire.OutcomeRequest(
             workspace=workspace, key=key, outcome=codec.outcome_to_wire(outcome)
         )
-        reply: wire.OutcomeReply = self._ask("RecordOutcome", request)
+        reply: wire.OutcomeReply = self._call_first_reachable("RecordOutcome", request)
         return reply.recorded
 
-    def _ask(self, method: str, request: message.Message) -> Any:
-        """Call ``method`` at the first control box that answers."""
+    def _call_first_reachable(self, method: str, request: message.Message) -> Any:
+        """Call ``method`` at each control box until one answers, and return its reply.
+
+        Raises `errors.CroftpulleyError` (CONTROL_UNREACHABLE) if none does.
+        """
         stubs = self._stubs
-        for step in range(len(stubs)):
-            position = (self._first + step) % len(stubs)
+        for offset in range(len(stubs)):
+            position = (self._preferred_index + offset) % len(stubs)
             call = getattr(stubs[position], method)
             try:
                 reply = call(request, timeout=self._timeout_s)
             except grpc.RpcError:
                 continue
-            self._first = position
+            self._preferred_index = position
             self._counters.control_bytes(method, request.ByteSize(), reply.ByteSize())
             return reply
         raise errors.CroftpulleyError(codes.ResultCode.CONTROL_UNREACHABLE)
--- a/src/croftpulley/transport/control_server.py
+++ b/src/croftpulley/transport/control_server.py
@@ -1,4 +1,4 @@
-"""The control box's gRPC service: decodes, asks the controllers, encodes."""
+"""The control box's gRPC service: converts messages and delegates to a handler."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class ControlHandler(abc.ABC):
-    """What the service needs from the control daemon."""
+    """The operations behind the service, implemented by the control daemon."""
 
     @abc.abstractmethod
     def renew(self, renewal: messages.Renewal) -> messages.RenewalAnswer:
-        """Renew a box's lease."""
+        """Renew a box's lease and return the state that changed."""
 
     @abc.abstractmethod
     def claim(self, workspace: str, key: str, digest: str, claim_id: str) -> claims.ClaimAnswer:
-        """Claim a call."""
+        """Claim a call that must not run twice, under its idempotency key."""
 
     @abc.abstractmethod
     def record(self, workspace: str, key: str, outcome: claims.Outcome) -> bool:
-        """Record a call's outcome."""
+        """Record a claimed call's outcome; return whether it was accepted."""
 
 
 class ControlService(services.ControlServicer):
-    """The generated service over a handler."""
+    """Implements the generated service by a `ControlHandler` and counts the bytes of each call."""
 
     def __init__(self, handler: ControlHandler, counters: metrics.Metrics) -> None:
         self._handler = handler
--- a/src/croftpulley/transport/json_codec.py
+++ b/src/croftpulley/transport/json_codec.py
@@ -1,4 +1,4 @@
-"""Messages between our processes as JSON, for the links that are HTTP (``docs/design/008``)."""
+"""JSON encoding of messages between the fleet's processes over HTTP (``docs/design/008``)."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 
 T = TypeVar("T")
 CONVERTER = orjson_converter.make_converter(omit_if_default=True)
-"""Knows how to write and read every message; unions are registered where they are defined. A field
-that has its default is left out: most of a renewal's are so, four times a second."""
-# The library's own way (base 85, in Python) takes 3.2 ms to write 16 KiB and 4.7 ms to read it; the
-# one below takes 0.05 ms to write (processor time, mean of 50) for a text longer by 7%.
+"""Converts every message. Unions are registered by the modules that define them. Fields that have
+their default are omitted: that is most fields of a renewal, which is sent four times a second."""
+# The library's default for bytes (base 85, in Python) takes 3.2 ms to encode 16 KiB and 4.7 ms to
+# decode it. Base 64 takes 0.05 ms to encode (CPU time, mean of 50); its text is 7% longer.
 CONVERTER.register_unstructure_hook(bytes, lambda data: base64.b64encode(data).decode())
 CONVERTER.register_structure_hook(bytes, lambda text, _: base64.b64decode(text, validate=True))
 
 
 def encode(message: Any, kind: Any = None) -> bytes:
-    """Encode a message; ``kind`` is the union that it belongs to, if any."""
+    """Encode a message as JSON; ``kind`` is the union that it belongs to, if any."""
     return orjson.dumps(CONVERTER.unstructure(message, kind or type(message)))
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Decode a message; raises `errors.CroftpulleyError` (BAD_REQUEST)."""
+    """Decode a message of type ``kind``.
+
+    Raises `errors.CroftpulleyError` (BAD_REQUEST) if ``body`` does not hold one.
+    """
     try:
         return CONVERTER.structure(orjson.loads(body), kind)
     except (ValueError, KeyError, cattrs.BaseValidationError) as failure:
--- a/src/croftpulley/transport/leader_finder.py
+++ b/src/croftpulley/transport/leader_finder.py
@@ -1,4 +1,4 @@
-"""Asks control boxes who leads, for a box that has no part in the replicated state."""
+"""Finds the control leader for a box that does not take part in replication."""
 
 from __future__ import annotations
 
@@ -11,54 +11,55 @@
 
 LEADER_PATH = "/v1/replica/leader"
 _TIMEOUT_S = 0.2
-"""Operators wait a second for an answer: three boxes that are down may be asked before another."""
-_MOST_ASKED = 4
+"""Operators wait 1 s for an answer, so up to three boxes that are down may be asked before one that
+answers."""
+_MAX_ASKED = 4
 
 
 class LeaderFinder:
-    """Finds the leader when it is asked for; may be called by several threads."""
+    """Finds the leader by asking control boxes, one after the other. Thread-safe."""
 
     def __init__(
-        self, addresses: tuple[str, ...], counters: metrics.Metrics, chance: random.Random
+        self, addresses: tuple[str, ...], counters: metrics.Metrics, rng: random.Random
     ) -> None:
-        self._first_addresses = addresses
-        self._told_addresses: tuple[str, ...] = ()
+        self._configured_addresses = addresses
+        self._learned_addresses: tuple[str, ...] = ()
         self._leader = ""
         self._links = links.Links(_TIMEOUT_S, counters)
-        self._chance = chance
+        self._rng = rng
         self._lock = threading.Lock()
 
     def use_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Ask at these addresses, and at those that control boxes told, from now on."""
+        """Replace the configured addresses; those learned from control boxes are asked as well."""
         with self._lock:
-            self._first_addresses = addresses
+            self._configured_addresses = addresses
 
     def find(self) -> str:
-        """Return the address at which other boxes reach the leader, empty if nobody tells one."""
+        """Return the leader's address for other boxes, empty if no box that was asked knows it."""
         with self._lock:
-            for address in self._in_turn():
+            for address in self._addresses_to_ask():
                 answer = self._ask(address)
                 if answer is None:
                     continue
-                self._told_addresses = answer.control_addresses
+                self._learned_addresses = answer.control_addresses
                 if answer.leader_address:
                     self._leader = answer.leader_address
                     return answer.leader_address
             self._leader = ""
             return ""
 
-    def _in_turn(self) -> list[str]:
-        """Return whom to ask: the last leader first, the others by chance."""
-        others = set(self._first_addresses) | set(self._told_addresses)
+    def _addresses_to_ask(self) -> list[str]:
+        """Return the addresses to ask: the last known leader first, then others in random order."""
+        others = set(self._configured_addresses) | set(self._learned_addresses)
         ordered = sorted(others - {self._leader})
-        self._chance.shuffle(ordered)
+        self._rng.shuffle(ordered)
         first = [self._leader] if self._leader else []
-        return [*first, *ordered][:_MOST_ASKED]
+        return [*first, *ordered][:_MAX_ASKED]
 
     def _ask(self, address: str) -> box_messages.LeaderAnswer | None:
         try:
             body = self._links.to(address).post(LEADER_PATH, b"{}")
             return json_codec.decode(body, box_messages.LeaderAnswer)
         except errors.CroftpulleyError:
-            # Counted by the link; the next box is asked.
+            # The link has counted the failure; the caller asks the next box.
             return None
--- a/src/croftpulley/transport/links.py
+++ b/src/croftpulley/transport/links.py
@@ -1,8 +1,8 @@
-"""A kept HTTP connection to another of our processes, for short messages.
+"""Persistent HTTP connections to other processes of the fleet, for short messages.
 
-The time limit of a call holds for connecting and for each wait for bytes, so that a link that was
-cut without a word is noticed within one call; an answer that trickles in may take longer. All
-messages sent this way may be repeated.
+The timeout of a call applies to connecting and to each read, so that a connection that was lost
+without a reset is noticed within one call; an answer that arrives in small pieces may take longer.
+All messages sent this way are safe to repeat.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def unreachable(address: str, problem: str) -> errors.CroftpulleyError:
-    """Make the error for a message that got no answer; it may have been handled."""
+    """Return the error for a message without an answer; it may have been processed."""
     return errors.CroftpulleyError(
         codes.ResultCode.CONTROL_UNREACHABLE,
         f"{address}: {problem}",
@@ -27,7 +27,7 @@
 
 
 class Link:
-    """Kept connections to one address, one by default, made again whenever they broke."""
+    """Persistent connections to one address, one by default; broken ones are reopened."""
 
     def __init__(
         self, address: str, timeout_s: float, counters: metrics.Metrics, connections: int = 1
@@ -41,10 +41,10 @@
         )
 
     def post(self, path: str, body: bytes) -> bytes:
-        """Send a message and return the answer's body.
+        """Send a message and return the body of the response.
 
-        Raises `errors.CroftpulleyError`: CONTROL_UNREACHABLE without an answer, BAD_REQUEST for an
-        answer that is not a success.
+        Raises `errors.CroftpulleyError`: CONTROL_UNREACHABLE if there is no response, BAD_REQUEST
+        if its status is not 200.
         """
         try:
             response = self._pool.request("POST", path, body=body, headers=_HEADERS)
@@ -61,15 +61,15 @@
         return response.data
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connections."""
         self._pool.close()
 
 
 class Links:
-    """One link an address, made when first asked for.
+    """One link for each address, created on first use. Not thread-safe.
 
-    For the messages of one thread, or of several that use its ``connections`` at once and take
-    turns with the links themselves.
+    Several threads may send over the same link at once, up to its ``connections``, but they must
+    synchronize calls of this class.
     """
 
     def __init__(self, timeout_s: float, counters: metrics.Metrics, connections: int = 1) -> None:
@@ -79,12 +79,12 @@
         self._links: dict[str, Link] = {}
 
     def to(self, address: str) -> Link:
-        """Return the link to ``address``."""
+        """Return the link to ``address``, creating it on first use."""
         if address not in self._links:
             self._links[address] = Link(address, self._timeout_s, self._counters, self._connections)
         return self._links[address]
 
     def keep(self, addresses: set[str]) -> None:
-        """Close the links to all other addresses."""
+        """Close and remove the links to all addresses but these."""
         for address in set(self._links) - addresses:
             self._links.pop(address).close()
--- a/src/croftpulley/transport/messages.py
+++ b/src/croftpulley/transport/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between boxes; `codec` turns them into wire messages and back."""
+"""Typed messages between boxes; `codec` converts renewals and their answers to protobuf."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @attrs.frozen
 class Renewal:
-    """What an entry box tells the control boxes at each renewal.
+    """State that an entry box reports to the control boxes with each lease renewal.
 
-    ``engines`` is ``None`` when the control box has already the version named.
+    ``engines`` is ``None`` if the control box already has that ``engines_version``.
     """
 
     box: membership.Box
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class RenewalAnswer:
-    """What the control boxes tell an entry box; ``None`` means unchanged."""
+    """The answer to a `Renewal`; ``None`` means unchanged."""
 
     lease_s: float
     configuration_version: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class DispatchOrder:
-    """One attempt at one engine, for the engine's owner to carry out."""
+    """One attempt at one engine, sent to the box that owns the engine."""
 
     request_id: str
     attempt: int
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Finished:
-    """The engine's answer is whole; token counts are the engine's own."""
+    """The engine's response is complete; the token counts are those that the engine reported."""
 
     finish_reason: str
     total_chars: int
@@ -68,12 +68,12 @@
 
 @attrs.frozen
 class Accepted:
-    """The owner admitted the request and counts it."""
+    """The owner admitted the request and counts it as outstanding."""
 
 
 @attrs.frozen
 class Refused:
-    """The owner did not admit the request; ``outstanding`` is what the engine holds."""
+    """The owner rejected the request; ``outstanding`` is the engine's number of requests."""
 
     code: codes.ResultCode
     outstanding: int
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class Broken:
-    """The attempt ended early; the phase says what the engine may have done."""
+    """The attempt failed; ``phase`` tells how far the engine may have processed the request."""
 
     code: codes.ResultCode
     phase: attempts.Phase
--- a/src/croftpulley/transport/packing.py
+++ b/src/croftpulley/transport/packing.py
@@ -1,7 +1,7 @@
-"""Long texts made short for the links between boxes.
+"""Compression of long texts that are sent between boxes.
 
-A configuration names hundreds of routes in much the same words; packed it is a fraction of its
-length. A box packs each version once, whatever the number of boxes that it goes to.
+The hundreds of routes of a configuration are written much alike, so that it compresses to a
+fraction of its size. A box compresses each version once, however many boxes it is sent to.
 """
 
 from __future__ import annotations
@@ -11,32 +11,37 @@
 from croftpulley import codes, errors
 from croftpulley.core import configuration_transfer
 
-_FAST = 1
-"""The level of zlib that takes least time; the others save little on these texts."""
+_FASTEST_LEVEL = 1
+"""The fastest level of zlib; higher levels save little more on these texts."""
 
 
 def pack(text: str) -> bytes:
-    """Return a text packed.
+    """Compress a text.
 
     >>> unpack(pack("a route " * 100)) == "a route " * 100, len(pack("a route " * 100)) < 50
     (True, True)
     """
-    return zlib.compress(text.encode(), _FAST)
+    return zlib.compress(text.encode(), _FASTEST_LEVEL)
 
 
 def unpack(packed: bytes) -> str:
-    """Return the text; raises `errors.CroftpulleyError` (BAD_REQUEST) for what is no packed one."""
-    unpacker = zlib.decompressobj()
+    """Decompress a text that `pack` returned.
+
+    Raises `errors.CroftpulleyError` (BAD_REQUEST) for data that is damaged, truncated or longer
+    than `configuration_transfer.MAX_TEXT_SIZE_BYTES` when decompressed.
+    """
+    decompressor = zlib.decompressobj()
     try:
-        text = unpacker.decompress(packed, configuration_transfer.MAX_TEXT_SIZE_BYTES)
-        if not unpacker.eof:
+        text = decompressor.decompress(packed, configuration_transfer.MAX_TEXT_SIZE_BYTES)
+        if not decompressor.eof:
             raise errors.CroftpulleyError(
                 codes.ResultCode.BAD_REQUEST,
-                "got a packed text that is cut or longer than "
+                "compressed text is truncated or longer than "
                 f"{configuration_transfer.MAX_TEXT_SIZE_BYTES} bytes",
             )
         return text.decode()
     except (zlib.error, UnicodeDecodeError) as failure:
         raise errors.CroftpulleyError(
-            codes.ResultCode.BAD_REQUEST, f"got {len(packed)} bytes that are no text: {failure}"
+            codes.ResultCode.BAD_REQUEST,
+            f"{len(packed)} bytes are not a compressed text: {failure}",
         ) from failure
--- a/src/croftpulley/transport/replica_codec.py
+++ b/src/croftpulley/transport/replica_codec.py
@@ -1,4 +1,4 @@
-"""The unions of messages between replicas, for `json_codec`."""
+"""Registers the unions of messages between replicas with `json_codec`."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from croftpulley.transport import json_codec
 
 REQUEST: Any = messages.Request
-"""Any request from one replica to another."""
+"""Type of any request from one replica to another."""
 REPLY: Any = messages.Reply
-"""Any reply of one replica to another."""
+"""Type of any reply of one replica to another."""
 
 for _union in (REQUEST, REPLY):
     strategies.configure_tagged_union(_union, json_codec.CONVERTER, tag_name="kind")
--- a/src/croftpulley/transport/senders.py
+++ b/src/croftpulley/transport/senders.py
@@ -1,4 +1,4 @@
-"""Sends messages to other boxes in the background, one thread and one link an address."""
+"""Sends messages to other boxes in the background, with a thread and a link for each address."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from croftpulley.observe import metrics
 from croftpulley.transport import links
 
-_WAITING_LIMIT = 8
-"""Messages to one address that may wait; beyond them the oldest is dropped, as a network would."""
+_MAX_QUEUED = 8
+"""Maximum number of queued messages to one address. If the queue is full, the oldest is dropped, as
+a network would do."""
 
 
 @attrs.frozen
 class Job:
-    """A message to send and what to do with its answer; exactly one of the two is called."""
+    """A message to send, and the callbacks for its response; exactly one of them is called."""
 
     path: str
     body: bytes
@@ -27,16 +28,19 @@
 
 
 class Sender:
-    """The sender to one address."""
+    """Sends queued messages to one address, in order, on a thread of its own."""
 
     def __init__(self, link: links.Link) -> None:
         self._link = link
-        self._jobs: queue.Queue[Job | None] = queue.Queue(_WAITING_LIMIT)
+        self._jobs: queue.Queue[Job | None] = queue.Queue(_MAX_QUEUED)
         self._thread = threading.Thread(target=self._run, name="sender", daemon=True)
         self._thread.start()
 
     def send(self, job: Job | None) -> None:
-        """Queue a job; ``None`` ends the thread."""
+        """Queue a job without blocking; ``None`` ends the thread and closes the link.
+
+        If the queue is full, the oldest job is dropped and its ``on_failure`` called.
+        """
         while True:
             try:
                 self._jobs.put_nowait(job)
@@ -50,7 +54,7 @@
         except queue.Empty:
             return
         if dropped is not None:
-            dropped.on_failure(links.unreachable(self._link.address, "too many wait"))
+            dropped.on_failure(links.unreachable(self._link.address, "send queue is full"))
 
     def _run(self) -> None:
         while True:
@@ -61,12 +65,12 @@
             try:
                 job.on_answer(self._link.post(job.path, job.body))
             except errors.CroftpulleyError as failure:
-                # No answer, or one that cannot be read.
+                # No response, an error status, or a body that ``on_answer`` cannot decode.
                 job.on_failure(failure)
 
 
 class Senders:
-    """One sender an address, made when first asked for."""
+    """One sender for each address, created on first use. Not thread-safe."""
 
     def __init__(self, timeout_s: float, counters: metrics.Metrics) -> None:
         self._timeout_s = timeout_s
@@ -74,12 +78,12 @@
         self._senders: dict[str, Sender] = {}
 
     def to(self, address: str) -> Sender:
-        """Return the sender to ``address``."""
+        """Return the sender to ``address``, creating it on first use."""
         if address not in self._senders:
             self._senders[address] = Sender(links.Link(address, self._timeout_s, self._counters))
         return self._senders[address]
 
     def keep(self, addresses: set[str]) -> None:
-        """End the senders to all other addresses."""
+        """Stop and remove the senders to all addresses but these."""
         for address in set(self._senders) - addresses:
             self._senders.pop(address).send(None)
--- a/testing/settings/test_loader.py
+++ b/testing/settings/test_loader.py
@@ -55,34 +55,34 @@
 
 
 @hypothesis.given(JSON)
-def test_a_text_without_comments_reads_as_one_with_them(value):
+def test_text_parses_the_same_with_and_without_comments(value):
     text = json.dumps(value, ensure_ascii=False)
     assert loader.read(text) == loader.read(f"/* a comment */ {text}") == value
 
 
-def test_a_large_text_without_comments_never_comes_to_the_slow_reader(monkeypatch):
+def test_text_without_comments_is_not_parsed_by_json5(monkeypatch):
     monkeypatch.setattr(json5, "loads", lambda *_, **__: pytest.fail("it was called"))
     document = {"routes": [{"name": f"route-{number}"} for number in range(3000)]}
     assert loader.read(json.dumps(document)) == document
 
 
 @pytest.mark.parametrize("text", ['{"a": 1, "a": 2}', '{"a": {"b": 1, "b": 2}} // twice'])
-def test_a_key_that_comes_twice_is_refused_at_any_depth(text):
+def test_duplicate_key_is_rejected_at_any_depth(text):
     with pytest.raises(ValueError, match=r"[Dd]uplicate"):
         loader.read(text)
 
 
-def test_a_missing_key_is_named():
+def test_error_names_a_missing_key():
     assert faults("{}", schema.ControlSettings)["data_folder"].endswith("missing; it is required")
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"box": "a", "box": "b"}'])
-def test_what_is_no_object_or_repeats_a_key_is_refused(text):
+def test_text_that_is_not_an_object_or_repeats_a_key_gives_one_error(text):
     assert len(faults(text)) == 1
 
 
 @pytest.mark.parametrize("kind", [schema.EntrySettings, schema.RouterSettings])
-def test_boxes_that_take_callers_name_faults_of_their_common_settings_alike(kind):
+def test_errors_in_common_settings_are_the_same_for_all_caller_facing_boxes(kind):
     found = faults('{"box": 3, "platform_interval_s": 0, "workspace_labels": 0}', kind)
     assert found["box"] == "box.jsonc: box: got 3, allowed is a string"
     wanted = "box.jsonc: platform_interval_s: got 0.0, allowed is 0.05 to 60"
@@ -91,11 +91,11 @@
     assert found["caller_address"] == "box.jsonc: caller_address: missing; it is required"
 
 
-def test_true_is_no_number():
+def test_boolean_is_rejected_as_a_number():
     assert "streams" in faults('{"streams": true}')
 
 
-def test_a_file_that_cannot_be_read_is_a_settings_fault(tmp_path):
+def test_unreadable_file_is_reported_as_a_settings_error(tmp_path):
     with pytest.raises(errors.SettingsErrorGroup) as caught:
         loader.load(str(tmp_path / "none.jsonc"), schema.EntrySettings)
     assert "No such file" in caught.value.exceptions[0].detail
@@ -109,7 +109,7 @@
     assert loader.load(str(path), KINDS.get(path.name.split("-")[0], kind))
 
 
-def test_faults_deep_in_a_configuration_are_named():
+def test_errors_name_the_full_path_of_nested_keys():
     with pytest.raises(errors.SettingsErrorGroup) as caught:
         fleet.parse('{"models": [{"name": "m"}], "cap_multiple": 0.5}')
     assert {fault.key for fault in caught.value.exceptions} == {"models[0].pool", "cap_multiple"}
--- a/testing/transport/test_packing.py
+++ b/testing/transport/test_packing.py
@@ -1,4 +1,4 @@
-"""Packed texts."""
+"""Compression of texts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @given(st.text())
-def test_any_text_comes_back(text):
+def test_unpack_restores_any_packed_text(text):
     assert packing.unpack(packing.pack(text)) == text
 
 
@@ -20,13 +20,13 @@
     "damaged",
     [b"", b"no packed text", packing.pack("a text" * 100)[:-5], packing.pack("a\u00e4")[:4]],
 )
-def test_what_is_damaged_is_refused(damaged):
+def test_damaged_data_is_rejected(damaged):
     with pytest.raises(errors.CroftpulleyError) as raised:
         packing.unpack(damaged)
     assert raised.value.code is codes.ResultCode.BAD_REQUEST
 
 
-def test_a_text_that_is_too_long_is_not_unpacked(monkeypatch):
+def test_text_over_the_size_limit_is_rejected(monkeypatch):
     monkeypatch.setattr(configuration_transfer, "MAX_TEXT_SIZE_BYTES", 100)
     with pytest.raises(errors.CroftpulleyError, match="longer than 100 bytes"):
         packing.unpack(packing.pack("a" * 101))
