--- a/src/croftpulley/controllers/reach.py
+++ b/src/croftpulley/controllers/reach.py
@@ -1,7 +1,7 @@
-"""The ways of this router to the endpoints of its pools: which are lost, and when they are back.
+"""This router's network paths to its pools: which are lost, and when they are back.
 
-`Reach` is shared by all request threads and guarded by a lock. `reach_checks` asks endpoints, so
-that no request has to.
+`Reach` is shared by all request threads and guarded by a lock. `reach_checks` probes endpoints in
+the background, so that no request has to.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from croftpulley.observe import events, metrics
 
 _LOG = logging.getLogger(__name__)
-LOOK_TIMEOUT_S = 0.2
-"""How long a look at endpoints may take: many round trips within a region."""
+PROBE_TIMEOUT_S = 0.2
+"""Timeout of a probe of endpoints: many round trips within a region."""
 
 
 class Reach:
-    """What this router's own connections say of its ways to pools."""
+    """State of this router's paths to pools, from the results of its own connections."""
 
     def __init__(
         self,
@@ -50,15 +50,18 @@
         return self._lost
 
     def is_refused(self, pool: str) -> bool:
-        """Tell whether not even connections are made to a pool's endpoints."""
+        """Tell whether the path to a pool is lost because no connection can be made.
+
+        It is also lost if connections are made and then get no response (unresponsive).
+        """
         known = self._pools.get(pool)
         return known is not None and known.is_lost
 
     def is_reached(self, pool: str) -> bool:
-        """Tell whether some endpoint of a pool was reached lately; waits while others are tried."""
+        """Tell whether an endpoint of a pool was reached recently; waits for a probe under way."""
         with self._lock:
             known = self._pools.setdefault(pool, core.PoolReach())
-            self._lock.wait_for(lambda: not known.is_probing, 2 * LOOK_TIMEOUT_S)
+            self._lock.wait_for(lambda: not known.is_probing, 2 * PROBE_TIMEOUT_S)
             return known.is_reached(self._clock.monotonic_s())
 
     def take_answered(self) -> tuple[str, ...]:
@@ -68,7 +71,10 @@
         return tuple(sorted(taken))
 
     def unreached(self, endpoint: membership.Endpoint, dialer: dialing.Dialer) -> None:
-        """Note that no connection to an endpoint was made; look at others where that is a doubt."""
+        """Note that no connection to an endpoint was made.
+
+        Probes other endpoints of the pool if the path to the pool may be lost.
+        """
         others = [
             each
             for each in self._view.get().endpoints
@@ -77,38 +83,39 @@
         with self._lock:
             known = self._pool(endpoint)
             now_s = self._clock.monotonic_s()
-            is_in_doubt = known.unreached(endpoint.key, len(others) + 1, now_s)
-        if is_in_doubt:
-            self._look(endpoint, others, dialer)
+            needs_probe = known.unreached(endpoint.key, len(others) + 1, now_s)
+        if needs_probe:
+            self._probe(endpoint, others, dialer)
 
-    def _look(
+    def _probe(
         self,
         endpoint: membership.Endpoint,
         others: list[membership.Endpoint],
         dialer: dialing.Dialer,
     ) -> None:
-        """Find out whether any other endpoint of a pool is reached; the way is lost if none is."""
-        looked_at = random.sample(others, min(core.MAX_PROBED_ENDPOINTS, len(others)))
-        addresses = [each.address for each in looked_at]
-        is_reached = dialer.first_to_listen(addresses, LOOK_TIMEOUT_S) is not None
+        """Probe other endpoints of a pool; the path to the pool is lost if none is reached."""
+        probed = random.sample(others, min(core.MAX_PROBED_ENDPOINTS, len(others)))
+        addresses = [each.address for each in probed]
+        is_reached = dialer.first_to_listen(addresses, PROBE_TIMEOUT_S) is not None
         with self._lock:
             now_s = self._clock.monotonic_s()
             is_new = self._pool(endpoint).probed(is_reached=is_reached, now_s=now_s)
-            self._know_lost()
+            self._update_lost()
             self._lock.notify_all()
         if is_new:
-            self._tell(events.Event.POOL_OUT_OF_REACH, endpoint, is_lost=True)
+            self._log_change(events.Event.POOL_OUT_OF_REACH, endpoint, is_lost=True)
 
     def asked(self, endpoint: membership.Endpoint) -> None:
-        """Note a connection over which an endpoint's answer is awaited."""
+        """Note that a connection to an endpoint waits for its response."""
         with self._lock:
             self._pool(endpoint).asked(endpoint.key, self._clock.monotonic_s())
 
     def doubtful(self, pool: str) -> list[membership.Endpoint]:
-        """Return the endpoints of a pool that make the way there doubtful, if any do.
+        """Return the endpoints of a pool that suggest that the path to the pool is lost.
 
-        Those are the ones that break off or are silent while others have answers of the pool, and
-        any that have told nothing lately while the way to another pool is lost.
+        Those are the endpoints whose connections break or that are silent while other boxes get
+        responses from the pool. While the path to another pool is lost, those are otherwise the
+        endpoints not heard from recently.
         """
         state = self._view.get()
         of_pool = {each.key: each for each in state.endpoints if each.pool == pool}
@@ -122,59 +129,61 @@
                 doubtful = known.unheard(of_pool, self._clock.monotonic_s())
         return [of_pool[key] for key in doubtful if key in of_pool]
 
-    def mute(self, endpoint: membership.Endpoint) -> None:
-        """Take it that connections to a pool's endpoints, such as this one, say nothing."""
+    def mark_unresponsive(self, endpoint: membership.Endpoint) -> None:
+        """Mark the path to an endpoint's pool as lost: connections are made but get no response."""
         with self._lock:
             self._pool(endpoint).mark_unresponsive()
-            self._know_lost()
-        self._tell(events.Event.POOL_OUT_OF_REACH, endpoint, is_lost=True)
+            self._update_lost()
+        self._log_change(events.Event.POOL_OUT_OF_REACH, endpoint, is_lost=True)
 
     def connected(self, endpoint: membership.Endpoint) -> None:
-        """Note that a connection to an endpoint was made."""
+        """Note that a connection to an endpoint was made, which may show that the path is back."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             is_back = self._pool(endpoint).connected(now_s)
-            self._know_lost()
+            self._update_lost()
         if is_back:
-            self._is_back(endpoint)
+            self._note_back(endpoint)
 
     def failed(self, endpoint: membership.Endpoint) -> None:
-        """Note an attempt that ended without a word of its endpoint, which is avoided a while.
+        """Note an attempt that ended without any response, and start a back-off for its endpoint.
 
-        It counts as the endpoint's failure once another one of its pool has answered.
+        It counts as the endpoint's failure once another endpoint of the pool has answered.
         """
-        self._counts.avoid(endpoint.key)
+        self._counts.start_backoff(endpoint.key)
         with self._lock:
             self._pool(endpoint).failed(endpoint.key, self._clock.monotonic_s())
 
     def answered(self, endpoint: membership.Endpoint) -> None:
-        """Note that the head of an endpoint's answer is there."""
+        """Note that the headers of an endpoint's response have arrived."""
         with self._lock:
             known = self._pool(endpoint)
-            was_mute = known.is_unresponsive
+            was_unresponsive = known.is_unresponsive
             failed = known.answered(endpoint.key, self._clock.monotonic_s())
             self._answered.add(endpoint.pool)
-            self._know_lost()
-        if was_mute:
-            self._is_back(endpoint)
+            self._update_lost()
+        if was_unresponsive:
+            self._note_back(endpoint)
         for key in failed:
             self._counts.erred(key)
 
-    def _is_back(self, endpoint: membership.Endpoint) -> None:
-        """Avoid nobody for what was met while the way was lost."""
+    def _note_back(self, endpoint: membership.Endpoint) -> None:
+        """End the back-offs of a pool's endpoints: the lost path caused them."""
         of_pool = [each.key for each in self._view.get().endpoints if each.pool == endpoint.pool]
-        self._counts.trust_again(of_pool)
-        self._tell(events.Event.POOL_REACHED_AGAIN, endpoint, is_lost=False)
+        self._counts.end_backoff(of_pool)
+        self._log_change(events.Event.POOL_REACHED_AGAIN, endpoint, is_lost=False)
 
     def _pool(self, endpoint: membership.Endpoint) -> core.PoolReach:
         return self._pools.setdefault(endpoint.pool, core.PoolReach())
 
-    def _know_lost(self) -> None:
+    def _update_lost(self) -> None:
         self._lost = frozenset(
             name for name, each in self._pools.items() if each.is_lost or each.is_unresponsive
         )
 
-    def _tell(self, event: events.Event, endpoint: membership.Endpoint, *, is_lost: bool) -> None:
+    def _log_change(
+        self, event: events.Event, endpoint: membership.Endpoint, *, is_lost: bool
+    ) -> None:
         self._counters.out_of_reach(endpoint.pool, is_lost)
         events.emit(
             _LOG,
@@ -188,7 +197,7 @@
 
 
 class NotingDialer(dialing.Dialer):
-    """Dials one endpoint and notes whether that is reached."""
+    """Dials one endpoint and records in a `Reach` whether it was reached."""
 
     def __init__(self, endpoint: membership.Endpoint, known: Reach, dialer: dialing.Dialer) -> None:
         self._endpoint = endpoint
@@ -196,7 +205,7 @@
         self._dialer = dialer
 
     def dial(self, connection: urllib3.connection.HTTPConnection) -> None:
-        """Make a connection."""
+        """Make a connection; record the result, and raise the error again if there is one."""
         try:
             self._dialer.dial(connection)
         except connections.TRANSPORT_ERRORS:
@@ -206,7 +215,7 @@
         self._known.asked(self._endpoint)
 
     def listens(self, address: str, timeout_s: float) -> bool | None:
-        """Connect and close."""
+        """Return the result of a probe as the wrapped dialer does, and record a success."""
         listens = self._dialer.listens(address, timeout_s)
         if listens:
             self._known.connected(self._endpoint)
--- a/src/croftpulley/controllers/reach_checks.py
+++ b/src/croftpulley/controllers/reach_checks.py
@@ -1,4 +1,4 @@
-"""The controller of a router that asks endpoints to which the way may be lost."""
+"""The controller of a router that probes endpoints if the path to their pool may be lost."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from croftpulley.endpoints import connection as connections
 from croftpulley.endpoints import dialing
 
-TICKS_A_QUESTION = 4
-"""Ticks between two questions to an endpoint whether it is well, while the way there is mute."""
-MOST_ASKED = 8
-"""Endpoints beside a doubtful one that are asked whether they are well: some may have ended."""
-TRIED_AT_ONCE = 4
-"""Endpoints of a lost pool that are tried at one tick: with half of them down one is reached."""
+TICKS_PER_HEALTH_CHECK = 4
+"""Ticks between two health checks of a pool while its endpoints are unresponsive."""
+MAX_CHECKED = 8
+"""Most endpoints checked in addition to a doubtful one; several, as some may have ended."""
+MAX_PROBED_PER_TICK = 4
+"""Most endpoints of a lost pool that are probed per tick: enough to reach one with half of them
+down."""
 
 
 class ReachChecks(actors.Controller):
-    """Tries some endpoints of each lost pool at each tick, in turn."""
+    """Probes some endpoints of each lost pool, and checks doubtful pools, at each tick."""
 
     def __init__(
         self,
@@ -31,73 +32,76 @@
         self._known = known
         self._view = view
         self._dialer = dialer
-        self._tries = 0
+        self._ticks = 0
         self._unanswered: set[str] = set()
-        """The pools of which nobody answered at the last tick."""
+        """The pools in which no checked endpoint answered at the last tick."""
 
     def handle(self, message: object) -> None:
-        """Look once."""
-        self._tries += 1
+        """Run the probes of one tick."""
+        self._ticks += 1
         for pool in sorted(self._known.lost):
-            self._try(pool)
+            self._check_lost(pool)
         pools = {each.pool for each in self._view.get().endpoints}
         for pool in sorted(pools - self._known.lost):
-            self._doubt(pool)
+            self._check_doubtful(pool)
 
     def _of_pool(self, pool: str) -> list[membership.Endpoint]:
         return [each for each in self._view.get().endpoints if each.pool == pool]
 
-    def _try(self, pool: str) -> None:
-        """Try whether the way to a pool is there again."""
+    def _check_lost(self, pool: str) -> None:
+        """Find out whether the path to a lost pool is back."""
         of_pool = self._of_pool(pool)
         if not of_pool:
             return
         if self._known.is_refused(pool):
-            self._connect(of_pool)
-        elif self._tries % TICKS_A_QUESTION == 0:
-            self._answers(of_pool[self._tries % len(of_pool)])
+            self._probe_next(of_pool)
+        elif self._ticks % TICKS_PER_HEALTH_CHECK == 0:
+            self._is_healthy(of_pool[self._ticks % len(of_pool)])
 
-    def _connect(self, of_pool: list[membership.Endpoint]) -> None:
-        """Connect to the next endpoints in turn; the first that listens shows the way."""
-        start = self._tries * TRIED_AT_ONCE
-        count = min(TRIED_AT_ONCE, len(of_pool))
-        tried = {
+    def _probe_next(self, of_pool: list[membership.Endpoint]) -> None:
+        """Probe the next endpoints in turn; the first that accepts shows that the path is back."""
+        start = self._ticks * MAX_PROBED_PER_TICK
+        count = min(MAX_PROBED_PER_TICK, len(of_pool))
+        probed = {
             each.address: each
             for each in (of_pool[(start + n) % len(of_pool)] for n in range(count))
         }
-        address = self._dialer.first_to_listen(tuple(tried), reach.LOOK_TIMEOUT_S)
+        address = self._dialer.first_to_listen(tuple(probed), reach.PROBE_TIMEOUT_S)
         if address is not None:
-            self._known.connected(tried[address])
+            self._known.connected(probed[address])
 
-    def _doubt(self, pool: str) -> None:
-        """Find out whether endpoints say nothing of which there is doubt."""
+    def _check_doubtful(self, pool: str) -> None:
+        """Check a pool's doubtful endpoints and some others; mark the path as lost if none answers.
+
+        It takes two ticks in a row without an answer.
+        """
         doubtful = self._known.doubtful(pool)
         was_unanswered = pool in self._unanswered
         self._unanswered.discard(pool)
         if not doubtful:
             return
-        # Those may have ended: another one that answers shows that the way is there.
+        # The doubtful ones may have ended: any other one that answers shows that the path works.
         others = [each for each in self._of_pool(pool) if each not in doubtful]
-        asked = random.sample(doubtful, 1)
-        asked += random.sample(others or doubtful, min(MOST_ASKED, len(others or doubtful)))
-        if dialing.first_that(self._answers, asked) is not None:
+        checked = random.sample(doubtful, 1)
+        checked += random.sample(others or doubtful, min(MAX_CHECKED, len(others or doubtful)))
+        if dialing.first_that(self._is_healthy, checked) is not None:
             return
         if was_unanswered:
-            self._known.mute(asked[0])
+            self._known.mark_unresponsive(checked[0])
         else:
-            # This box may have been too busy to hear an answer in time.
+            # This box may have been too busy to receive a response in time.
             self._unanswered.add(pool)
 
-    def _answers(self, endpoint: membership.Endpoint) -> bool:
-        """Ask an endpoint whether it is well; any answer shows that the way is there."""
+    def _is_healthy(self, endpoint: membership.Endpoint) -> bool:
+        """Send a health check to an endpoint; any response shows that the path works."""
         pool = self._view.get().tables.pools.get(endpoint.pool)
         path = pool.health_path if pool else "/"
-        target = connections.Target(endpoint.address, reach.LOOK_TIMEOUT_S, reach.LOOK_TIMEOUT_S)
+        target = connections.Target(endpoint.address, reach.PROBE_TIMEOUT_S, reach.PROBE_TIMEOUT_S)
         request = connections.HttpRequest("GET", path, content_type=None)
         try:
             connections.whole(target, request, connections.WORKER_FAILURES, dialer=self._dialer)
         except errors.CroftpulleyError:
-            # What a failure says is that nothing was heard.
+            # No response arrived.
             return False
         self._known.answered(endpoint)
         return True
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -1,6 +1,6 @@
-"""The session controller of a control box: leases of routers, and what is in force where.
+"""The session controller of a control box: leases of routers, and the versions that they apply.
 
-Only the leading box grants. Others answer who leads, as far as they know.
+Only the leading box grants leases. Others answer with the leader that they know of.
 """
 
 from __future__ import annotations
@@ -37,44 +37,45 @@
 from croftpulley.transport import box_messages
 
 _LOG = logging.getLogger(__name__)
-_NOTES_A_TERM = 1 << 32
-LIST_FRESH_S = 2.0
-"""A list read longer ago may be from a former leadership of this box, or from its start: boxes that
-have one keep theirs until it is read anew, which the leader does each 0.5 s."""
-MOST_TOLD = 16
-"""Boxes of which one is told that has lost a pool: enough to spread its requests over."""
-LOADS_AWAITED_S = 0.5
-"""How long a leader that has just come tells no loads while it has not heard every registered box:
-two renewals. Until then routers keep those that they were told last, at most 1 s old; the sum of
-one box told as that of all has it send to endpoints that the others fill."""
-LEAST_KEPT_S = 5.0
-"""How long after the end of its lease a box leaves the replicated state at least; one that only
-restarted does not write to the log again. It stays for longer where repeats count for longer: its
-share of the extra is nobody else's before (`core.retry_budget`)."""
+_NOTE_NUMBERS_PER_TERM = 1 << 32
+MAX_LIST_AGE_S = 2.0
+"""Maximum age of a list. An older one may be from an earlier term of this box as leader, or from
+its start: boxes that have a list keep it until the leader reads a new one, which it does every
+0.5 s."""
+MAX_REACHING_BOXES = 16
+"""Most boxes named to a box that has lost its path to a pool: enough to spread its requests."""
+LOADS_WAIT_S = 0.5
+"""How long a new leader sends no loads while it has not heard from every registered box: two
+renewals. Until then routers keep the loads that they received last, at most 1 s old. If a router
+took the sum of one box for that of all, it would send to endpoints that the others fill."""
+MIN_RETENTION_S = 5.0
+"""Minimum time that a box stays in the replicated state after its lease expired, so that a restart
+needs no write to the log. It stays longer where repeats count for longer: until then no other box
+gets its share of the extra (`core.retry_budget`)."""
 
 
 @attrs.frozen
 class PostNotes:
-    """Says which parts of prompts an engine keeps."""
+    """Message: which prompt parts engines have cached."""
 
     notes: prompt_part_index.NotesByEngine
 
 
 @attrs.frozen
 class Status:
-    """Asks for the boxes with a lease, and who is waited for."""
+    """Message: asks for the boxes with a lease, and those that lag behind."""
 
 
 @attrs.frozen
 class EndpointsStatus:
-    """Asks for the endpoints and what all boxes know of them."""
+    """Message: asks for the endpoints with what all boxes together know of them."""
 
 
 @attrs.frozen
 class EndpointStatus:
     """An endpoint as the boxes together know it.
 
-    ``resting_s`` is for how long it wants nothing from which boxes.
+    ``resting_s`` maps a box to how long the endpoint wants no requests from it (a rest).
     """
 
     endpoint: membership.Endpoint
@@ -85,21 +86,21 @@
 
 @attrs.frozen
 class StatusAnswer:
-    """The boxes with a lease and the names of those that do not use the newest state yet."""
+    """The boxes with a lease and the names of those that do not apply the newest state yet."""
 
     boxes: tuple[membership.Box, ...]
     waiting_for: tuple[str, ...]
 
 
-class _Order:
-    """The keys of the list in its order, made anew when the list changes and not at each answer."""
+class _ListedKeys:
+    """Caches the keys of the endpoint list in its order until the list changes."""
 
     def __init__(self) -> None:
         self._version = 0
         self._keys: dict[str, None] = {}
 
     def keys(self, listed: listing.Listing) -> dict[str, None]:
-        """Return the keys, which can be looked up as well."""
+        """Return the keys as a dict without values, for order and fast lookup."""
         if self._version != listed.endpoints.version:
             self._version = listed.endpoints.version
             self._keys = dict.fromkeys(each.key for each in listed.endpoints.value)
@@ -115,50 +116,50 @@
         replica_status: actors.View[replica_standing.ReplicaStatus],
         endpoints: actors.View[listing.Listing],
         cold_per_s: Callable[[], Mapping[str, float]],
-        tell_leaving: Callable[[tuple[str, ...]], None],
+        report_leaving: Callable[[tuple[str, ...]], None],
         lease_s: float,
         margin_s: float,
         repeats_counted_s: float,
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
-        self._kept_s = max(LEAST_KEPT_S, repeats_counted_s)
+        self._kept_s = max(MIN_RETENTION_S, repeats_counted_s)
         self._command_log = log
         self._replica_status = replica_status
         self._endpoints = endpoints
         self._cold_per_s = cold_per_s
-        self._tell_leaving = tell_leaving
-        self._allotments = send_quotas.QuotaAllocator()
+        self._report_leaving = report_leaving
+        self._quotas = send_quotas.QuotaAllocator()
         self._lease_s = lease_s
         self._clock = clock
         self._sessions = sessions.Sessions(lease_s, margin_s)
-        self._leads_term = 0
-        self._leads_from_s = float("-inf")
-        self._waiting = in_force.InForceWaiters()
+        self._leading_term = 0
+        self._leading_since_s = float("-inf")
+        self._waiters = in_force.InForceWaiters()
         self._registering: set[str] = set()
-        self._forgetting: set[str] = set()
-        self._forget_at_s: dict[str, float] = {}
-        self._bulletin = prompt_part_index.NoteLog()
-        self._outcomes = outlier_detection.OutlierDetector()
-        self._answering = pool_responses.RecentPoolResponses()
+        self._unregistering: set[str] = set()
+        self._unregister_at_s: dict[str, float] = {}
+        self._note_log = prompt_part_index.NoteLog()
+        self._outlier_detector = outlier_detection.OutlierDetector()
+        self._pool_responses = pool_responses.RecentPoolResponses()
         self._unreached: dict[str, frozenset[str]] = {}
-        self._order = _Order()
+        self._listed_keys = _ListedKeys()
         self._versions = version_notes.VersionNotes(log, clock)
         self._boxes: versions.Versioned[tuple[membership.Box, ...]] = versions.Versioned(())
 
     def handle(self, message: object) -> object:
-        """Renew, wait, tick or tell the status."""
+        """Handle a renewal, a wait for a version, new notes, a tick or a status request."""
         match message:
             case box_messages.BoxReport():
                 return self._renew(message)
             case in_force.AwaitInForce():
-                self._waiting.add(message)
-                self._settle()
+                self._waiters.add(message)
+                self._complete_waiters()
             case PostNotes(notes):
-                # Notes may be the first that is heard of a new leadership, which begins a bulletin
-                # of its own: posted to the old one they would be lost.
+                # Notes may be the first message of a new term as leader. `_leads` then starts a
+                # new note log; notes appended to the old one would be lost.
                 if self._leads():
-                    self._bulletin.append(prompt_part_index.iterate_notes(notes))
+                    self._note_log.append(prompt_part_index.iterate_notes(notes))
             case actors.Tick():
                 self._tick()
             case Status():
@@ -168,49 +169,49 @@
         return None
 
     def _leads(self) -> bool:
-        """Tell whether this box may grant; begins anew where it has just come to lead."""
+        """Tell whether this box may grant leases; resets its state at the start of a new term."""
         status = self._replica_status.get()
         now_s = self._clock.monotonic_s()
         if not status.has_authority(now_s):
             return False
-        if status.term != self._leads_term:
-            self._leads_term = status.term
+        if status.term != self._leading_term:
+            self._leading_term = status.term
             self._registering.clear()
-            self._forgetting.clear()
-            self._forget_at_s.clear()
-            # Another leader's numbers must not be taken for these.
-            self._bulletin = prompt_part_index.NoteLog(status.term * _NOTES_A_TERM)
-            self._leads_from_s = now_s
-            self._allotments.begin(now_s)
+            self._unregistering.clear()
+            self._unregister_at_s.clear()
+            # Note numbers of different leaders must not overlap.
+            self._note_log = prompt_part_index.NoteLog(status.term * _NOTE_NUMBERS_PER_TERM)
+            self._leading_since_s = now_s
+            self._quotas.begin(now_s)
             self._sessions.begin(tuple(self._command_log.read().boxes), now_s)
         return True
 
-    def _has_lost_the_lead(self) -> bool:
-        """Tell whether another may lead now.
+    def _has_lost_leadership(self) -> bool:
+        """Tell whether another box may lead now.
 
         A leader whose followers answer late has no authority for a moment, and then has it again.
-        Who waits for a configuration to be in force may go on waiting through that.
+        Callers that wait for a configuration to be in force keep waiting meanwhile.
         """
         status = self._replica_status.get()
-        leads = status.role is states.Role.LEADER and status.term == self._leads_term
+        leads = status.role is states.Role.LEADER and status.term == self._leading_term
         return not leads
 
     def _renew(self, report: box_messages.BoxReport) -> box_messages.BoxReportAnswer:
         if not self._leads():
-            return self._elsewhere()
+            return self._not_leading_answer()
         self._versions.note(self._endpoints.get())
         state = self._command_log.read()
         if not self._is_registered(report.box, state):
-            # The lease comes with the next renewal: the box must be known to any next leader
-            # before it may act.
+            # The lease is granted at a later renewal: any next leader must know the box before the
+            # box may act.
             return attrs.evolve(self._answer(report, state), lease_s=0.0)
-        self._forget_at_s.pop(report.box.name, None)
+        self._unregister_at_s.pop(report.box.name, None)
         now_s = self._clock.monotonic_s()
-        self._bulletin.append(prompt_part_index.iterate_notes(report.notes))
-        self._outcomes.add(report.outcomes, now_s)
-        self._answering.note(report.box.name, report.answered, now_s)
+        self._note_log.append(prompt_part_index.iterate_notes(report.notes))
+        self._outlier_detector.add(report.outcomes, now_s)
+        self._pool_responses.note(report.box.name, report.answered, now_s)
         if report.leaving:
-            self._tell_leaving(report.leaving)
+            self._report_leaving(report.leaving)
         newest = state.submissions.held.version
         known = report.configuration_version
         if not leases.may_renew_lease(known, newest, holds_lease=report.holds_lease):
@@ -224,17 +225,17 @@
             now_s,
         )
         if changed:
-            # A box that has just come must find itself among the boxes that it names.
+            # The answer to a new box must list that box.
             self._boxes.set(self._sessions.boxes(now_s))
-            self._settle()
+            self._complete_waiters()
         return self._answer(report, state)
 
     def _is_registered(self, box: membership.Box, state: replicated_state.ReplicatedState) -> bool:
-        if box.name in self._forgetting and box.name in state.boxes:
-            # What is about to leave the state must not be granted a lease meanwhile: no next
-            # leader would know of it.
+        if box.name in self._unregistering and box.name in state.boxes:
+            # A box that is about to be removed from the state must not get a lease meanwhile: no
+            # next leader would know of it.
             return False
-        self._forgetting.discard(box.name)
+        self._unregistering.discard(box.name)
         registered = attrs.evolve(box, draining=False)
         if state.boxes.get(box.name) == registered:
             self._registering.discard(box.name)
@@ -244,7 +245,7 @@
             self._command_log.propose(replicated_state.RegisterBox(registered))
         return False
 
-    def _elsewhere(self) -> box_messages.BoxReportAnswer:
+    def _not_leading_answer(self) -> box_messages.BoxReportAnswer:
         status = self._replica_status.get()
         return box_messages.BoxReportAnswer(
             leader_address=status.leader_address, control_addresses=status.addresses
@@ -254,14 +255,14 @@
         self, report: box_messages.BoxReport, state: replicated_state.ReplicatedState
     ) -> box_messages.BoxReportAnswer:
         status = self._replica_status.get()
-        listed = self._versions.agreed_part(self._endpoints.get())
-        order = self._order.keys(listed)
-        # Summed for each answer: the router takes off what it has just reported, so that must be in
-        # the sum, and nothing that it reported before.
+        listed = self._versions.committed_part(self._endpoints.get())
+        order = self._listed_keys.keys(listed)
+        # Summed for each answer: the router subtracts what it has just reported, so the sum must
+        # contain that and not an earlier report.
         loads = self._sessions.loads()
-        are_whole = self._are_loads_whole()
-        page = self._bulletin.read_from(report.next_note)
-        notes = [note for note in page.notes if self._is_life(note.engine, listed)]
+        are_complete = self._are_loads_complete()
+        page = self._note_log.read_from(report.next_note)
+        notes = [note for note in page.notes if self._is_listed(note.engine, listed)]
         return box_messages.BoxReportAnswer(
             lease_s=self._lease_s,
             registered_boxes=len(state.boxes),
@@ -274,15 +275,15 @@
             boxes=self._boxes.if_changed(report.boxes_version),
             endpoints_version=listed.endpoints.version,
             endpoints=self._newer_endpoints(listed, report.endpoints_version),
-            loads=listed_counts.encode_counts(loads.in_flight, order) if are_whole else None,
+            loads=listed_counts.encode_counts(loads.in_flight, order) if are_complete else None,
             reading_tokens=listed_counts.encode_counts(loads.reading_tokens, order),
             cold=listed_counts.encode_counts(self._cold(report.box.name, listed), order),
             notes=prompt_part_index.group_by_engine(notes),
             next_note=page.next_number,
-            held_off=self._outcomes.held(self._clock.monotonic_s()),
+            held_off=self._outlier_detector.held(self._clock.monotonic_s()),
             unreached={pool: len(names) for pool, names in self._unreached.items()},
-            reaching={pool: self._some_reaching(pool) for pool in report.unreached},
-            answering=self._answering.pools_answering_others(
+            reaching={pool: self._sample_reaching(pool) for pool in report.unreached},
+            answering=self._pool_responses.pools_answering_others(
                 report.box.name, self._clock.monotonic_s()
             ),
             mixed=self._mixed(listed),
@@ -293,107 +294,107 @@
         )
 
     def _cold(self, box: str, listed: listing.Listing) -> dict[str, int]:
-        """Return what a box is told of the endpoints that are cold, and may send there."""
+        """Return a box's encoded send quotas for the endpoints that are cold."""
         now_s = self._clock.monotonic_s()
         cold_now = listed.cold(now_s)
         if not cold_now:
             return {}
-        takes_per_s = self._cold_per_s()
+        limits_per_s = self._cold_per_s()
         boxes = tuple(each.name for each in self._boxes.value if not each.draining)
         return send_quotas.encode_quotas(
             {
-                each.key: self._allotments.renew_quota(
-                    each.key, takes_per_s[each.pool], box, boxes, now_s
+                each.key: self._quotas.renew_quota(
+                    each.key, limits_per_s[each.pool], box, boxes, now_s
                 )
                 for each in cold_now
-                if each.pool in takes_per_s
+                if each.pool in limits_per_s
             }
         )
 
-    def _some_reaching(self, pool: str) -> tuple[str, ...]:
-        """Return some boxes that have not lost a pool, others at each renewal."""
+    def _sample_reaching(self, pool: str) -> tuple[str, ...]:
+        """Return a new random sample of the boxes that have not lost their path to a pool."""
         lost = self._unreached.get(pool, frozenset())
         reaching = [box.name for box in self._boxes.value if box.name not in lost]
-        return tuple(random.sample(reaching, min(MOST_TOLD, len(reaching))))
+        return tuple(random.sample(reaching, min(MAX_REACHING_BOXES, len(reaching))))
 
     def _mixed(self, listed: listing.Listing) -> tuple[str, ...] | None:
-        """Return the pools of several versions, ``None`` while the list is too old to tell."""
-        return None if self._is_old(listed) else self._versions.mixed()
+        """Return the pools with several versions, ``None`` while the list is too old to tell."""
+        return None if self._is_list_stale(listed) else self._versions.mixed()
 
-    def _is_old(self, listed: listing.Listing) -> bool:
-        return self._clock.monotonic_s() - listed.read_at_s > LIST_FRESH_S
+    def _is_list_stale(self, listed: listing.Listing) -> bool:
+        return self._clock.monotonic_s() - listed.read_at_s > MAX_LIST_AGE_S
 
-    def _are_loads_whole(self) -> bool:
-        is_new = self._clock.monotonic_s() - self._leads_from_s < LOADS_AWAITED_S
+    def _are_loads_complete(self) -> bool:
+        is_new = self._clock.monotonic_s() - self._leading_since_s < LOADS_WAIT_S
         return not (is_new and self._sessions.has_unheard_boxes)
 
-    def _is_life(self, key: str, listed: listing.Listing) -> bool:
-        """Tell whether a note is of a life that is listed; without a list none is left out."""
-        known = self._order.keys(listed)
+    def _is_listed(self, key: str, listed: listing.Listing) -> bool:
+        """Tell whether a note's incarnation is listed; always true while there is no list."""
+        known = self._listed_keys.keys(listed)
         return not known or key in known
 
     def _newer_endpoints(
         self, listed: listing.Listing, known_version: int
     ) -> listing.Endpoints | None:
-        """Return the list for a box that knows another one, unless it may know a newer one."""
-        if self._is_old(listed) and known_version:
+        """Return the list if the box has a different one, unless the box's may be newer."""
+        if self._is_list_stale(listed) and known_version:
             return None
         return listed.endpoints.if_changed(known_version)
 
     def _tick(self) -> None:
         if not self._leads():
-            if self._has_lost_the_lead():
-                self._waiting.fail_all()
+            if self._has_lost_leadership():
+                self._waiters.fail_all()
             return
         self._versions.note(self._endpoints.get())
         now_s = self._clock.monotonic_s()
         for box in self._sessions.remove_expired(now_s):
             events.emit(_LOG, events.Event.BOX_EXPIRED, expired_box=box)
-            self._forget_at_s[box] = now_s + self._kept_s
-        # Not at each renewal: that would cost all boxes' work for each of them.
+            self._unregister_at_s[box] = now_s + self._kept_s
+        # Once per tick: at each renewal the cost would be quadratic in the number of boxes.
         self._boxes.set(self._sessions.boxes(now_s))
-        self._forget(now_s)
-        self._allotments.drop_unused(now_s)
-        self._answering.forget(now_s)
+        self._unregister_expired(now_s)
+        self._quotas.drop_unused(now_s)
+        self._pool_responses.forget(now_s)
         self._unreached = self._sessions.unreached()
-        self._judge(now_s)
-        self._settle()
+        self._hold_off_outliers(now_s)
+        self._complete_waiters()
 
-    def _judge(self, now_s: float) -> None:
-        """Hold off endpoints that fail more than their peers."""
+    def _hold_off_outliers(self, now_s: float) -> None:
+        """Hold off endpoints with a higher failure rate than their peers."""
         pools: dict[str, list[str]] = {}
         evacuated = self._command_log.read().evacuated.names
         for each in self._endpoints.get().endpoints.value:
             if not each.leaving and each.hall not in evacuated:
                 pools.setdefault(each.pool, []).append(each.key)
-        self._outcomes.retain({name for names in pools.values() for name in names})
-        for judgement in self._outcomes.hold_off_outliers(
+        self._outlier_detector.retain({name for names in pools.values() for name in names})
+        for hold in self._outlier_detector.hold_off_outliers(
             [tuple(names) for names in pools.values()], now_s
         ):
             events.emit(
                 _LOG,
                 events.Event.ENDPOINT_HELD_OFF,
                 level=logging.WARNING,
-                endpoint=judgement.endpoint,
-                failed=round(judgement.failed, 1),
-                requests=round(judgement.total, 1),
-                peers_failed_share=round(judgement.peers_failure_rate, 3),
-                hold_s=judgement.hold_s,
+                endpoint=hold.endpoint,
+                failed=round(hold.failed, 1),
+                requests=round(hold.total, 1),
+                peers_failed_share=round(hold.peers_failure_rate, 3),
+                hold_s=hold.hold_s,
             )
 
-    def _forget(self, now_s: float) -> None:
-        for box, at_s in list(self._forget_at_s.items()):
+    def _unregister_expired(self, now_s: float) -> None:
+        for box, at_s in list(self._unregister_at_s.items()):
             if now_s >= at_s:
-                del self._forget_at_s[box]
-                self._forgetting.add(box)
+                del self._unregister_at_s[box]
+                self._unregistering.add(box)
                 self._command_log.propose(replicated_state.ForgetBox(box))
 
-    def _settle(self) -> None:
-        """Answer those who wait for what is in force now."""
+    def _complete_waiters(self) -> None:
+        """Complete the waits for versions that all boxes with a lease apply now."""
         if not self._leads():
             return
         now_s = self._clock.monotonic_s()
-        self._waiting.complete(lambda wanted: not self._sessions.waiting_for(wanted, now_s))
+        self._waiters.complete(lambda wanted: not self._sessions.waiting_for(wanted, now_s))
 
     def _status(self) -> StatusAnswer:
         if not self._leads():
@@ -409,7 +410,7 @@
             return ()
         now_s = self._clock.monotonic_s()
         in_flight = self._sessions.loads().in_flight
-        held_off = frozenset(self._outcomes.held(now_s))
+        held_off = frozenset(self._outlier_detector.held(now_s))
         resting_s = self._sessions.resting_s(now_s)
         return tuple(
             EndpointStatus(
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -1,7 +1,7 @@
-"""What a router remembers of where streams began, and what other routers remember.
+"""The origins of streams: those that a router remembers, and queries for those of other routers.
 
-`StreamOrigins` is shared by all request threads and guarded by a lock. `OriginController` tells
-other boxes, so that no stream waits for that unless its version has just come.
+`StreamOrigins` is shared by all request threads and guarded by a lock. `OriginController` announces
+origins to other boxes in the background. A stream waits for that only if its version is new.
 """
 
 from __future__ import annotations
@@ -20,25 +20,28 @@
 from croftpulley.transport import box_messages, json_codec, links
 
 _LOG = logging.getLogger(__name__)
-NEW_S = 5.0
-"""How long a version counts as new at a box that has just seen it. Another box may hold that its
-pool has one version only for `router_state.SETTLED_S`, by a list that the leader read up to 2 s
-before, and which lagged."""
+NEW_VERSION_S = 5.0
+"""How long a version counts as new at a box after the box has first seen it. For
+`router_state.SETTLED_S`, another box may still assume that the pool has a single version, from a
+list that the leader read up to 2 s earlier and that lagged."""
 TIMEOUT_S = 0.25
-"""For a message to another box: a lost one must leave time for the next."""
-MOST_CONNECTIONS = 16
-"""Kept to one box: so many threads may ask it at once, as after the loss of another."""
-AVOIDED_S = 1.0
-"""How long a box that did not answer is told nothing, and asked last."""
-MOST_A_MESSAGE = 32
-"""Streams in one message, about 4 kB: bodies of other boxes are bounded as those of callers."""
+"""Timeout for a message to another box, short enough to leave time for trying the next box."""
+MAX_CONNECTIONS = 16
+"""Most connections kept to one box: many threads may query it at once, such as after the loss of
+another box."""
+BACKOFF_S = 1.0
+"""How long a box that did not answer gets no announcements and is queried last."""
+MAX_STREAMS_PER_MESSAGE = 32
+"""Most streams in one message, about 4 kB: request bodies of other boxes have the same size limit
+as those of callers."""
 
 
 @attrs.frozen
 class Found:
-    """What was found out of a stream that a caller takes up.
+    """The result of a search for the origin of a stream that a caller resumes.
 
-    ``origin`` is ``None`` where two were told. ``known_by`` names the box that knew, or is empty.
+    ``origin`` is ``None`` if two different ones were announced. ``known_by`` names the box that
+    knew the stream, or is empty.
     """
 
     origin: origins.Origin | None
@@ -46,7 +49,7 @@
 
 
 class StreamOrigins:
-    """The origins that this router knows, and the ways to those that others know."""
+    """The origins that this router knows, and the links to other boxes to query and announce."""
 
     def __init__(
         self,
@@ -61,76 +64,79 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._origins = origins.OriginTable()
-        self._keepers = peers.OriginHolders(box)
-        self._links = links.Links(TIMEOUT_S, counters, MOST_CONNECTIONS)
+        self._holders = peers.OriginHolders(box)
+        self._links = links.Links(TIMEOUT_S, counters, MAX_CONNECTIONS)
         self._links_lock = threading.Lock()
-        self._avoided = peers.RecentFailures(AVOIDED_S)
-        self._seen_at_s: dict[tuple[str, str], float] = {}
-        self.on_news: Callable[[], None] = lambda: None
-        """Called where there is something to tell; set once, before requests come."""
+        self._recent_failures = peers.RecentFailures(BACKOFF_S)
+        self._first_seen_at_s: dict[tuple[str, str], float] = {}
+        self.on_unannounced: Callable[[], None] = lambda: None
+        """Called when there is something to announce; set once, before requests arrive."""
 
     def __len__(self) -> int:
         return len(self._origins)
 
     # --- this box's own streams ----------------------------------------------------------------
 
-    def begun(self, told: origins.OriginAnnouncement, *, always_told: bool) -> None:
-        """Note that an endpoint wrote a stream's first event, which has not been passed on yet.
+    def begun(self, announcement: origins.OriginAnnouncement, *, always_told: bool) -> None:
+        """Remember a stream whose first event arrived and was not relayed to the caller yet.
 
-        While its pool may have endpoints of several versions, or if it is ``always_told``, other
-        boxes learn of it. Raises `errors.CroftpulleyError` where its version is so new that some
-        box may not know of it, and no other box could be told.
+        The stream is announced to other boxes while its pool may have endpoints of several
+        versions, or if it is ``always_announced``. Raises `errors.CroftpulleyError` if its version
+        is so new that some box may not know of it, and no other box took the announcement.
         """
         now_s = self._clock.monotonic_s()
         state = self._view.get()
-        is_settled = state.is_settled(told.origin.pool, now_s)
-        is_new = not is_settled and self._is_new(told.origin, now_s)
+        is_settled = state.is_settled(announcement.origin.pool, now_s)
+        is_new = not is_settled and self._is_new(announcement.origin, now_s)
         with self._lock:
-            self._origins.remember(told, now_s, is_announced=False)
+            self._origins.remember(announcement, now_s, is_announced=False)
         if is_new:
-            self._tell_at_once(told, state)
+            self._announce_now(announcement, state)
         if always_told or not is_settled:
-            self.on_news()
+            self.on_unannounced()
 
     def ended_whole(self, stream: origins.StreamId) -> None:
-        """Note that a stream's answer has ended whole at this box."""
+        """Note that a stream's response was completed at this box."""
         with self._lock:
             self._origins.mark_completed(stream, self._clock.monotonic_s())
 
     def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
-        """Take the list of endpoints: versions that were not there before are new."""
+        """Update the listed versions from the list of endpoints; note when each was first seen."""
         now_s = self._clock.monotonic_s()
         listed = {(each.pool, each.version) for each in endpoints}
-        seen = self._seen_at_s
-        self._seen_at_s = {each: seen.get(each, now_s) for each in listed}
+        seen = self._first_seen_at_s
+        self._first_seen_at_s = {each: seen.get(each, now_s) for each in listed}
 
     def _is_new(self, origin: origins.Origin, now_s: float) -> bool:
-        seen_at_s = self._seen_at_s.get((origin.pool, origin.version), now_s)
-        return now_s < seen_at_s + NEW_S
+        seen_at_s = self._first_seen_at_s.get((origin.pool, origin.version), now_s)
+        return now_s < seen_at_s + NEW_VERSION_S
 
-    def _tell_at_once(
-        self, told: origins.OriginAnnouncement, state: router_state.RouterState
+    def _announce_now(
+        self, announcement: origins.OriginAnnouncement, state: router_state.RouterState
     ) -> None:
-        """Return once one box has taken it that is asked by others, or where there is none."""
-        boxes = self._by_answers(self._keepers.for_stream(told.stream, state.boxes))
-        message = box_messages.OriginsTold(streams=(told,))
+        """Announce a stream until one of its holders has taken it.
+
+        Does nothing if no other box holds it; raises `errors.CroftpulleyError` if none took it.
+        """
+        boxes = self._responsive_first(self._holders.for_stream(announcement.stream, state.boxes))
+        message = box_messages.OriginsTold(streams=(announcement,))
         if boxes and not any(self.tell(each, message) for each in boxes):
             raise errors.CroftpulleyError(
                 codes.ResultCode.ORIGIN_UNTOLD,
-                f"version {told.origin.version!r} of pool {told.origin.pool!r} is new, and none of "
-                f"{', '.join(each.name for each in boxes)} could be told",
+                f"version {announcement.origin.version!r} of pool {announcement.origin.pool!r} "
+                f"is new, and none of {', '.join(each.name for each in boxes)} could be told",
                 run_state=codes.RunState.RAN,
             )
 
-    # --- streams that callers take up ----------------------------------------------------------
+    # --- streams that callers resume -----------------------------------------------------------
 
     def find(self, stream: origins.StreamId) -> Found | None:
-        """Return where a stream began, asking other boxes if need be; ``None``: nobody knows."""
+        """Return where a stream began, from memory or another box; ``None`` if no box knows."""
         own = self.remembered(stream)
         if own is not None:
             return Found(own.origin, self._box)
         state = self._view.get()
-        for each in self._by_answers(self._keepers.for_stream(stream, state.boxes)):
+        for each in self._responsive_first(self._holders.for_stream(stream, state.boxes)):
             answer = self._ask(each, stream)
             if answer is not None and answer.is_known:
                 return Found(answer.origin, each.name)
@@ -149,13 +155,13 @@
             body = self._post(box, box_messages.ORIGIN_ASKED_PATH, json_codec.encode(asked))
             return json_codec.decode(body, box_messages.OriginAnswer)
         except errors.CroftpulleyError:
-            # The link has counted it; another box is asked.
+            # The link has counted the failure; the next box is queried.
             return None
 
-    # --- what other boxes tell -----------------------------------------------------------------
+    # --- announcements of other boxes ----------------------------------------------------------
 
     def take(self, streams: Iterable[origins.OriginAnnouncement]) -> None:
-        """Remember what another box tells."""
+        """Remember the streams that another box announces."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             for each in streams:
@@ -163,45 +169,50 @@
 
     # --- for the controller --------------------------------------------------------------------
 
-    def take_untold(self, always_told: frozenset[str]) -> list[origins.OriginAnnouncement]:
-        """Return what other boxes are to be told now; it counts as told."""
+    def take_unannounced(
+        self, always_announced: frozenset[str]
+    ) -> list[origins.OriginAnnouncement]:
+        """Return the streams to announce now, and mark them as announced.
+
+        Those are unannounced streams of pools in ``always_announced`` or not known to be settled.
+        """
         now_s = self._clock.monotonic_s()
         state = self._view.get()
         with self._lock:
             pools = [
                 pool
                 for pool in self._origins.pools_with_unannounced()
-                if pool in always_told or not state.is_settled(pool, now_s)
+                if pool in always_announced or not state.is_settled(pool, now_s)
             ]
             return self._origins.take_unannounced(pools, now_s)
 
     def all_told(self) -> list[origins.OriginAnnouncement]:
-        """Return all that several boxes should know."""
+        """Return all announced streams, which several boxes should know."""
         with self._lock:
             return list(self._origins.announced(self._clock.monotonic_s()))
 
-    def to_tell(self, stream: origins.StreamId) -> tuple[membership.Box, ...]:
-        """Return the boxes that are to keep a stream, beside this one."""
-        return self._keepers.for_stream(stream, self._view.get().boxes)[: peers.ORIGIN_COPIES]
+    def other_holders(self, stream: origins.StreamId) -> tuple[membership.Box, ...]:
+        """Return the boxes that should remember a stream, other than this one."""
+        return self._holders.for_stream(stream, self._view.get().boxes)[: peers.ORIGIN_COPIES]
 
-    def forget(self) -> None:
-        """Drop what is kept no longer, and the links to boxes that are gone."""
+    def remove_expired(self) -> None:
+        """Remove expired streams and the links to boxes that are gone."""
         with self._lock:
             self._origins.remove_expired(self._clock.monotonic_s())
         addresses = {each.peer_address for each in self._view.get().boxes}
         with self._links_lock:
             self._links.keep(addresses)
 
-    def is_avoided(self, box: membership.Box) -> bool:
-        """Tell whether a box did not answer a moment ago."""
-        return self._avoided.has_failed_recently(box.name, self._clock.monotonic_s())
+    def has_failed_recently(self, box: membership.Box) -> bool:
+        """Tell whether a box failed to answer in the last `BACKOFF_S`."""
+        return self._recent_failures.has_failed_recently(box.name, self._clock.monotonic_s())
 
     def tell(self, box: membership.Box, message: box_messages.OriginsTold) -> bool:
-        """Tell another box; return whether it remembers now."""
+        """Announce streams to another box; return whether it took them."""
         try:
             self._post(box, box_messages.ORIGINS_TOLD_PATH, json_codec.encode(message))
         except errors.CroftpulleyError:
-            # The link has counted it; the other boxes that are told keep it too.
+            # The link has counted the failure; the other holders remember the streams too.
             self._counters.origins_told("lost", len(message.streams))
             return False
         self._counters.origins_told("taken", len(message.streams))
@@ -213,21 +224,21 @@
         try:
             return link.post(path, body)
         except errors.CroftpulleyError:
-            self._avoided.failed(box.name, self._clock.monotonic_s())
+            self._recent_failures.failed(box.name, self._clock.monotonic_s())
             raise
 
-    def _by_answers(self, boxes: Iterable[membership.Box]) -> list[membership.Box]:
-        """Return the boxes with those last that did not answer a moment ago."""
-        return sorted(boxes, key=self.is_avoided)
+    def _responsive_first(self, boxes: Iterable[membership.Box]) -> list[membership.Box]:
+        """Return the boxes with those last that recently failed to answer."""
+        return sorted(boxes, key=self.has_failed_recently)
 
 
 @attrs.frozen
-class _Tell:
-    """Asks to tell what is new."""
+class _AnnounceNew:
+    """Message: announce what is not announced yet."""
 
 
 class OriginController(actors.Controller):
-    """Tells other boxes where streams began: those that keep it, and others as boxes change."""
+    """Announces the origins of streams to their holders, also to new ones as boxes change."""
 
     def __init__(
         self,
@@ -238,45 +249,45 @@
         super().__init__()
         self._known = known
         self._view = view
-        self._keepers_before = peers.OriginHolders(box)
+        self._holders_before = peers.OriginHolders(box)
         self._boxes: tuple[membership.Box, ...] = ()
-        self._is_asked = False
+        self._is_requested = False
 
     def on_start(self) -> None:
-        """Have requests' threads say when there is something to tell."""
-        self._known.on_news = self._ask_to_tell
+        """Subscribe to streams that request threads begin."""
+        self._known.on_unannounced = self._request_announcement
 
-    def _ask_to_tell(self) -> None:
-        if not self._is_asked:
-            self._is_asked = True
-            self.tell_self(_Tell())
+    def _request_announcement(self) -> None:
+        if not self._is_requested:
+            self._is_requested = True
+            self.tell_self(_AnnounceNew())
 
     def handle(self, message: object) -> None:
-        """Tell what is new; at a tick also what other boxes should know now."""
-        self._is_asked = False
+        """Announce new streams; at a tick also expire old ones and announce to new holders."""
+        self._is_requested = False
         if isinstance(message, actors.Tick):
-            self._known.forget()
-            self._tell_again()
-        always_told = self._view.get().tables.split_pools
-        self._tell(self._known.take_untold(always_told), self._known.to_tell)
+            self._known.remove_expired()
+            self._announce_to_new_holders()
+        always_announced = self._view.get().tables.split_pools
+        self._announce(self._known.take_unannounced(always_announced), self._known.other_holders)
 
-    def _tell_again(self) -> None:
-        """Tell boxes what they should keep from now on, as others have come or gone."""
+    def _announce_to_new_holders(self) -> None:
+        """Announce streams to the boxes that became their holders by a change of the box list."""
         before, self._boxes = self._boxes, self._view.get().boxes
         if before == self._boxes or not before:
             return
-        self._tell(self._known.all_told(), lambda stream: self._added(stream, before))
+        self._announce(self._known.all_told(), lambda stream: self._new_holders(stream, before))
 
-    def _added(
+    def _new_holders(
         self, stream: origins.StreamId, before: tuple[membership.Box, ...]
     ) -> tuple[membership.Box, ...]:
         known = {
             each.name
-            for each in self._keepers_before.for_stream(stream, before)[: peers.ORIGIN_COPIES]
+            for each in self._holders_before.for_stream(stream, before)[: peers.ORIGIN_COPIES]
         }
-        return tuple(each for each in self._known.to_tell(stream) if each.name not in known)
+        return tuple(each for each in self._known.other_holders(stream) if each.name not in known)
 
-    def _tell(
+    def _announce(
         self,
         streams: Iterable[origins.OriginAnnouncement],
         boxes_for: Callable[[origins.StreamId], tuple[membership.Box, ...]],
@@ -285,19 +296,21 @@
         for each in streams:
             for box in boxes_for(each.stream):
                 by_box.setdefault(box, []).append(each)
-        for box, told in by_box.items():
-            self._tell_one(box, told)
+        for box, announcements in by_box.items():
+            self._announce_to(box, announcements)
 
-    def _tell_one(self, box: membership.Box, told: list[origins.OriginAnnouncement]) -> None:
-        for start in range(0, len(told), MOST_A_MESSAGE):
-            if self._known.is_avoided(box):
-                self._lost(box, len(told) - start)
+    def _announce_to(
+        self, box: membership.Box, announcements: list[origins.OriginAnnouncement]
+    ) -> None:
+        for start in range(0, len(announcements), MAX_STREAMS_PER_MESSAGE):
+            if self._known.has_failed_recently(box):
+                self._log_unannounced(box, len(announcements) - start)
                 return
-            part = tuple(told[start : start + MOST_A_MESSAGE])
+            part = tuple(announcements[start : start + MAX_STREAMS_PER_MESSAGE])
             self._known.tell(box, box_messages.OriginsTold(streams=part))
 
     @staticmethod
-    def _lost(box: membership.Box, count: int) -> None:
+    def _log_unannounced(box: membership.Box, count: int) -> None:
         events.emit(
             _LOG,
             events.Event.ORIGINS_UNTOLD,
--- a/src/croftpulley/controllers/streams.py
+++ b/src/croftpulley/controllers/streams.py
@@ -1,4 +1,4 @@
-"""The requests in flight at this box: counted in and out, watched for deadline and caller."""
+"""The requests in flight at this box: limits, deadlines and callers that disconnect."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 @attrs.define
 class InFlight:
-    """Requests in flight at this box, in all and by workspace."""
+    """Number of requests in flight at this box, in total and by workspace."""
 
     streams_limit: int
     total: int = 0
     by_workspace: dict[str, int] = attrs.field(factory=dict)
 
     def enter(self, workspace: str, workspace_limit: int) -> codes.ResultCode | None:
-        """Count one request in, or return why it may not enter."""
+        """Count one more request, or return the limit that it would exceed."""
         if self.total >= self.streams_limit:
             return codes.ResultCode.TOO_MANY_STREAMS
-        present = self.by_workspace.get(workspace, 0)
-        if present >= workspace_limit:
+        count = self.by_workspace.get(workspace, 0)
+        if count >= workspace_limit:
             return codes.ResultCode.WORKSPACE_LIMIT
         self.total += 1
-        self.by_workspace[workspace] = present + 1
+        self.by_workspace[workspace] = count + 1
         return None
 
     def leave(self, workspace: str) -> None:
-        """Count one request out."""
+        """Count one request less."""
         self.total -= 1
-        present = self.by_workspace[workspace] - 1
-        if present:
-            self.by_workspace[workspace] = present
+        count = self.by_workspace[workspace] - 1
+        if count:
+            self.by_workspace[workspace] = count
         else:
             del self.by_workspace[workspace]
 
 
 @attrs.define(eq=False)
 class Watched:
-    """A request in flight."""
+    """A request that is cancelled after its deadline or once its caller is gone."""
 
     token: cancel.CancelToken
     deadline_s: float
@@ -52,7 +52,7 @@
 
 
 class Streams:
-    """All requests in flight; shared by the request threads, so guarded by a lock."""
+    """All requests in flight; thread-safe."""
 
     def __init__(self, streams_limit: int, clock: clocks.Clock, counters: metrics.Metrics) -> None:
         self._clock = clock
@@ -62,7 +62,7 @@
         self._watched: set[Watched] = set()
 
     def enter(self, workspace: str, workspace_limit: int) -> None:
-        """Count a request in; raises `errors.CroftpulleyError` where a limit is reached."""
+        """Count one more request; raises `errors.CroftpulleyError` if a limit is reached."""
         with self._lock:
             code = self._in_flight.enter(workspace, workspace_limit)
             self._counters.streams_open(self._in_flight.total)
@@ -70,19 +70,19 @@
             raise errors.CroftpulleyError(code)
 
     def leave(self, workspace: str) -> None:
-        """Count a request out."""
+        """Count one request less, and wake threads that wait for none to be in flight."""
         with self._lock:
             self._in_flight.leave(workspace)
             self._counters.streams_open(self._in_flight.total)
             self._lock.notify_all()
 
     def watch(self, watched: Watched) -> None:
-        """Begin to watch a request."""
+        """Add a request to those that `sweep` checks."""
         with self._lock:
             self._watched.add(watched)
 
     def unwatch(self, watched: Watched) -> None:
-        """Watch a request no more."""
+        """Remove a request from those that `sweep` checks."""
         with self._lock:
             self._watched.discard(watched)
             self._lock.notify_all()
@@ -93,14 +93,14 @@
             return max(self._in_flight.total, len(self._watched))
 
     def wait_until_empty(self, timeout_s: float) -> bool:
-        """Wait until nothing is in flight; return whether that came in time."""
+        """Wait until nothing is in flight or watched; return whether that was within the time."""
         with self._lock:
             return self._lock.wait_for(
                 lambda: not self._in_flight.total and not self._watched, timeout_s
             )
 
     def sweep(self) -> None:
-        """Cancel what has run out of time or has no caller any more."""
+        """Cancel the requests whose deadline has passed or whose caller is gone."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             watched = list(self._watched)
@@ -112,12 +112,12 @@
 
 
 class StreamController(actors.Controller):
-    """Sweeps the streams at each tick."""
+    """Cancels expired and abandoned requests at each tick."""
 
     def __init__(self, streams: Streams) -> None:
         super().__init__()
         self._streams = streams
 
     def handle(self, message: object) -> None:
-        """Sweep once."""
+        """Run one sweep."""
         self._streams.sweep()
--- a/src/croftpulley/controllers/suspect_register.py
+++ b/src/croftpulley/controllers/suspect_register.py
@@ -1,4 +1,4 @@
-"""The leading control box's side of suspects: reports and trials go through the replicated log."""
+"""Suspects at the leading control box: reports and trials go through the replicated log."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 _LOG = logging.getLogger(__name__)
 COMMIT_TIMEOUT_S = 0.35
-"""Less than a router waits for the answer (0.4 s): a thread is not held for nobody."""
+"""Less than a router's timeout for the answer (0.4 s), so that no thread waits for a caller that
+has given up."""
 
 
 class SuspectRegister:
-    """Takes reports and grants trials while this box leads; any thread may call."""
+    """Accepts reports and grants trials while this box leads; thread-safe."""
 
     def __init__(
         self,
@@ -34,29 +35,35 @@
         self._clock = clock
 
     def report(self, message: box_messages.SuspectReport) -> box_messages.SuspectReportAnswer:
-        """Return whether the report is in the log."""
+        """Commit a report; the answer has ``is_taken`` if the report is in the log."""
         if not self._leads():
             return box_messages.SuspectReportAnswer()
         done = self._propose_report(message.report)
-        changed = _result(done) if done is not None else ()
+        changed = _committed_result(done) if done is not None else ()
         if changed is None:
             return box_messages.SuspectReportAnswer()
-        _announce(changed)
+        _log_changed(changed)
         return box_messages.SuspectReportAnswer(is_taken=True)
 
     def begin_trial(self, request: box_messages.TrialRequest) -> box_messages.TrialRequestAnswer:
-        """Return the verdict, made after what came with the request is in the log."""
+        """Decide on a trial once the report that came with the request is in the log.
+
+        The answer is empty if this box does not lead or the log did not take the report.
+        """
         if not self._leads():
             return box_messages.TrialRequestAnswer()
         done = self._propose_report(request.report)
-        changed = _result(done) if done is not None else ()
+        changed = _committed_result(done) if done is not None else ()
         if changed is None:
             return box_messages.TrialRequestAnswer()
-        _announce(changed)
+        _log_changed(changed)
         return box_messages.TrialRequestAnswer(answer=self._answer(request))
 
     def _answer(self, request: box_messages.TrialRequest) -> suspect_messages.TrialAnswer | None:
-        """Return the verdict; only a grant goes into the log, ``None`` if it is not known to."""
+        """Return the verdict; only a grant goes into the log.
+
+        ``None`` if this box does not lead any more, or the grant is not known to be in the log.
+        """
         now_wall_s = self._clock.wall_s()
         known = self._command_log.read().suspects
         asker = request.asker
@@ -66,24 +73,27 @@
         command = replicated_state.BeginTrial(
             request.fingerprint, request.trial, request.limit_s, now_wall_s, asker
         )
-        granted = _result(self._command_log.propose(command))
+        granted = _committed_result(self._command_log.propose(command))
         return granted if isinstance(granted, suspect_messages.TrialAnswer) else None
 
     def all(self) -> tuple[suspect_rules.Suspect, ...]:
-        """Return the suspects, as applied here."""
-        entries = self._bulletin().entries
+        """Return the suspects in this box's replicated state."""
+        entries = self._published().entries
         return tuple(each.suspect for each in entries if each.suspect.is_suspect)
 
     def clear(self, fingerprint: str) -> None:
-        """Forget what speaks against a request; raises NOT_LEADER if that may not be in the log."""
+        """Remove what implicates a feature.
+
+        Raises `errors.CroftpulleyError` with NOT_LEADER if that is not known to be in the log.
+        """
         report = suspect_messages.Report(cleared=(fingerprint,))
         command = replicated_state.ReportSuspects(report, self._clock.wall_s())
-        if _result(self._command_log.propose(command)) is None:
+        if _committed_result(self._command_log.propose(command)) is None:
             raise errors.CroftpulleyError(
                 codes.ResultCode.NOT_LEADER, run_state=codes.RunState.UNKNOWN
             )
 
-    def _bulletin(self) -> published_suspects.PublishedSuspects:
+    def _published(self) -> published_suspects.PublishedSuspects:
         return self._command_log.read().suspects.bulletin
 
     def _leads(self) -> bool:
@@ -92,7 +102,10 @@
     def _propose_report(
         self, report: suspect_messages.Report
     ) -> pykka.Future[replicated_state.Result] | None:
-        """Propose what is not known yet: many boxes see the same part survive at one moment."""
+        """Propose a report without what is known; return ``None`` if nothing is left.
+
+        Many boxes see the same part survive at the same time.
+        """
         known = self._command_log.read().suspects
         report = attrs.evolve(report, cleared=known.known(report.cleared))
         if report.is_empty:
@@ -102,7 +115,7 @@
         )
 
 
-def _result(done: pykka.Future[replicated_state.Result]) -> Any:
+def _committed_result(done: pykka.Future[replicated_state.Result]) -> Any:
     """Return a command's result, ``None`` if it is not known to be in the log."""
     try:
         return done.get(timeout=COMMIT_TIMEOUT_S)
@@ -110,7 +123,7 @@
         return None
 
 
-def _announce(changed: tuple[suspect_rules.Suspect, ...]) -> None:
+def _log_changed(changed: tuple[suspect_rules.Suspect, ...]) -> None:
     for each in changed:
         events.emit(
             _LOG,
--- a/src/croftpulley/controllers/suspicion.py
+++ b/src/croftpulley/controllers/suspicion.py
@@ -1,4 +1,4 @@
-"""What a router knows of requests, and parts of prompts, under which endpoints end.
+"""Requests and prompt parts that a router knows to be suspected of crashing endpoints.
 
 Shared by all request threads and guarded by a lock.
 """
@@ -24,35 +24,37 @@
 from croftpulley.observe import events, metrics
 
 _LOG = logging.getLogger(__name__)
-MOST_REPORTED = 200
-"""Ends of endpoints in one report, each 108 bytes; the rest goes with the next."""
-PUT_OFF_S = 0.25
-"""Between two asks of a router for a trial of one request, where none is granted: a suspect that
-comes a thousand times a second asks the leading control box four times."""
-SURVIVED_S = 3.0
-"""A part that survived the beginning of an answer so long before an end did not cause it: it takes
-twice as long as a survival takes to be seen under load."""
-_HEARD_LATE_S = 1.0
-"""How much later a box hears of an end that another met."""
-MOST_PENDING = 5000
-"""Ends, and as many trials and clearings, that wait to be reported while nobody leads, about 1 MB;
-the oldest go first."""
+MAX_REPORTED = 200
+"""Most crashes in one report, 108 bytes each; the rest goes with the next report."""
+TRIAL_RETRY_DELAY_S = 0.25
+"""Shortest time between two requests of a router for a trial of one request, if none is granted. A
+suspect that arrives a thousand times a second makes four requests to the leading control box."""
+SURVIVAL_WINDOW_S = 3.0
+"""A part that survived the start of a response at most this long before a crash did not cause the
+crash. Twice the time that it takes under load until a survival is noticed."""
+_MAX_UPDATE_DELAY_S = 1.0
+"""How much later a box learns of a crash that another box observed."""
+MAX_PENDING = 5000
+"""Most crashes that wait to be reported while no control box leads, and as many ended trials and
+cleared features, about 1 MB; the oldest are dropped first."""
 
 
-_UNTOLD = suspect_messages.SuspectSummary("", 0)
+_NO_SUMMARY = suspect_messages.SuspectSummary("", 0)
 
 
 @attrs.frozen
 class Standing:
-    """What speaks against a request or part: endpoints that ended under it, and for how long it is
-    refused; ``told`` is what the leading control box told of it last.
+    """What implicates a request or prompt part.
+
+    ``crashes`` counts the endpoints that it may have crashed, and ``refused_for_s`` is for how long
+    it is rejected. ``summary`` is the last that the leading control box sent about it.
     """
 
     crashes: int = 0
     refused_for_s: float = 0.0
     put_off_for_s: float = 0.0
-    """How long no trial is asked for: one was not granted just now."""
-    told: suspect_messages.SuspectSummary = _UNTOLD
+    """How long no trial is requested, because the last request for one was not granted."""
+    summary: suspect_messages.SuspectSummary = _NO_SUMMARY
 
     @property
     def needs_trial(self) -> bool:
@@ -60,27 +62,27 @@
         return self.crashes >= suspect_messages.SUSPECTED_CRASHES
 
     def is_refused_to(self, asker: suspect_messages.Asker) -> bool:
-        """Tell whether no trial will be granted, by what this box was told."""
+        """Tell whether no trial will be granted, as far as this box was told."""
         if self.refused_for_s <= 0:
             return False
-        told = self.told
-        is_free = suspect_messages.is_unaccused(asker, told.accused, told.beside)
-        return not (told.has_own_trial and is_free)
+        summary = self.summary
+        is_unaccused = suspect_messages.is_unaccused(asker, summary.accused, summary.beside)
+        return not (summary.has_own_trial and is_unaccused)
 
 
 @attrs.frozen
-class _Heard:
-    """A suspect as the leading control box told it, with the end of its refusal here."""
+class _PublishedSuspect:
+    """A suspect as the leading control box described it, and when its refusal ends by our clock."""
 
-    told: suspect_messages.SuspectSummary
+    summary: suspect_messages.SuspectSummary
     refused_until_s: float = 0.0
 
 
-_UNHEARD = _Heard(_UNTOLD)
+_NOT_PUBLISHED = _PublishedSuspect(_NO_SUMMARY)
 
 
 class Suspicion:
-    """The suspects that this router was told of, and what it has met itself."""
+    """The suspects that the control box announced, and the crashes that this router observed."""
 
     def __init__(
         self,
@@ -88,100 +90,103 @@
         counters: metrics.Metrics,
         ends_by_itself: Callable[[str], bool] = lambda _life: False,
     ) -> None:
-        """Make one; ``ends_by_itself`` tells whether a life may end whatever it runs."""
+        """``ends_by_itself`` tells whether an incarnation may end whatever it runs.
+
+        Such an end implicates no request.
+        """
         self._ends_by_itself = ends_by_itself
         self._clock = clock
         self._counters = counters
         self._lock = threading.Lock()
-        self._doubts = crash_candidates.CrashCandidates()
-        self._heard: dict[str, _Heard] = {}
+        self._crash_candidates = crash_candidates.CrashCandidates()
+        self._published: dict[str, _PublishedSuspect] = {}
         self._revision = 0
         self._crashes: dict[suspect_messages.Crash, None] = {}
         self._unreported: collections.Counter[str] = collections.Counter()
-        """How many of these there are against each request or part."""
+        """Number of unreported crashes per request or part."""
         self._survivals = crash_candidates.Survivals()
         self._trial_ends: dict[suspect_messages.TrialEnd, None] = {}
         self._cleared: dict[str, None] = {}
-        self._put_off_until_s: dict[str, float] = {}
-        self.on_broke: Callable[[membership.Endpoint], None] = lambda _endpoint: None
-        """Called where a connection to an endpoint broke off; set once, before requests come."""
-        self.on_news: Callable[[], None] = lambda: None
-        """Called where there is something to report; set once, before requests come."""
+        self._no_trial_until_s: dict[str, float] = {}
+        self.on_connection_broken: Callable[[membership.Endpoint], None] = lambda _endpoint: None
+        """Called when a connection to an endpoint broke; set once, before requests arrive."""
+        self.on_reportable: Callable[[], None] = lambda: None
+        """Called when there is something to report; set once, before requests arrive."""
 
     @property
     def revision(self) -> int:
-        """The revision of the suspects that this router was told of."""
+        """The revision of the suspects that the leading control box sent last."""
         return self._revision
 
-    def learn(self, change: suspect_messages.SuspectsUpdate | None) -> None:
-        """Take what the leading control box tells."""
-        if change is None:
+    def learn(self, update: suspect_messages.SuspectsUpdate | None) -> None:
+        """Apply an update from the leading control box, and clear what survived here since."""
+        if update is None:
             return
         now_s = self._clock.monotonic_s()
         with self._lock:
-            if change.is_whole:
-                self._heard.clear()
-            for fingerprint in change.removed:
-                self._heard.pop(fingerprint, None)
-            for told in change.suspects:
-                refused_until_s = now_s + told.refused_for_s if told.refused_for_s else 0.0
-                self._heard[told.fingerprint] = _Heard(told, refused_until_s)
-            self._revision = change.revision
-            since_s = now_s - SURVIVED_S - _HEARD_LATE_S
+            if update.is_whole:
+                self._published.clear()
+            for fingerprint in update.removed:
+                self._published.pop(fingerprint, None)
+            for summary in update.suspects:
+                refused_until_s = now_s + summary.refused_for_s if summary.refused_for_s else 0.0
+                self._published[summary.fingerprint] = _PublishedSuspect(summary, refused_until_s)
+            self._revision = update.revision
+            since_s = now_s - SURVIVAL_WINDOW_S - _MAX_UPDATE_DELAY_S
             cleared = [
-                told.fingerprint
-                for told in change.suspects
-                if self._survivals.has_survived_since(told.fingerprint, told.pools, since_s)
+                summary.fingerprint
+                for summary in update.suspects
+                if self._survivals.has_survived_since(summary.fingerprint, summary.pools, since_s)
             ]
             for feature in cleared:
                 self._clear(feature)
         if cleared:
-            self.on_news()
+            self.on_reportable()
 
     def standing(self, fingerprint: str) -> Standing:
-        """Return what speaks against a request, as far as this router knows."""
+        """Return what implicates a request or part, as far as this router knows."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            return self._standing(fingerprint, now_s)
+            return self._status(fingerprint, now_s)
 
     def against(self, names: Iterable[str]) -> dict[str, Standing]:
-        """Return what speaks against those that need a trial."""
+        """Return those of the features that need a trial, each with its status."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            if not (self._heard or self._crashes):
+            if not (self._published or self._crashes):
                 return {}
-            spoken_against = [each for each in names if self._speaks_against(each)]
-            standings = {each: self._standing(each, now_s) for each in spoken_against}
-        return {name: each for name, each in standings.items() if each.needs_trial}
+            implicated = [each for each in names if self._is_implicated(each)]
+            statuses = {each: self._status(each, now_s) for each in implicated}
+        return {name: each for name, each in statuses.items() if each.needs_trial}
 
-    def _standing(self, fingerprint: str, now_s: float) -> Standing:
-        heard = self._heard.get(fingerprint, _UNHEARD)
+    def _status(self, fingerprint: str, now_s: float) -> Standing:
+        published = self._published.get(fingerprint, _NOT_PUBLISHED)
         own = self._unreported[fingerprint]
         if fingerprints.is_part(fingerprint):
-            # What this box has yet to report is not among what it was told.
-            crashes = heard.told.crashes + own
+            # The control box's number does not include the crashes not reported yet.
+            crashes = published.summary.crashes + own
         else:
-            crashes = max(heard.told.crashes, own)
-        put_off_until_s = self._put_off_until_s.get(fingerprint, 0.0)
+            crashes = max(published.summary.crashes, own)
+        no_trial_until_s = self._no_trial_until_s.get(fingerprint, 0.0)
         return Standing(
             crashes=crashes,
-            refused_for_s=max(0.0, heard.refused_until_s - now_s),
-            put_off_for_s=max(0.0, put_off_until_s - now_s),
-            told=heard.told,
+            refused_for_s=max(0.0, published.refused_until_s - now_s),
+            put_off_for_s=max(0.0, no_trial_until_s - now_s),
+            summary=published.summary,
         )
 
     def put_off(self, fingerprint: str) -> None:
-        """Have no trial be asked for for a moment."""
+        """Let no trial of a feature be requested for `TRIAL_RETRY_DELAY_S`."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            known = self._put_off_until_s.items()
-            self._put_off_until_s = {name: at_s for name, at_s in known if at_s > now_s}
-            self._put_off_until_s[fingerprint] = now_s + PUT_OFF_S
+            known = self._no_trial_until_s.items()
+            self._no_trial_until_s = {name: at_s for name, at_s in known if at_s > now_s}
+            self._no_trial_until_s[fingerprint] = now_s + TRIAL_RETRY_DELAY_S
 
     def unclear(self, fingerprint: str) -> tuple[str, ...]:
-        """Return the lives of endpoints where it broke off lately, and it is not known why."""
+        """Return the incarnations where a request's connection broke recently, cause unknown."""
         with self._lock:
-            return self._doubts.unexplained_breaks(fingerprint, self._clock.monotonic_s())
+            return self._crash_candidates.unexplained_breaks(fingerprint, self._clock.monotonic_s())
 
     def begin(
         self,
@@ -191,7 +196,7 @@
     ) -> None:
         """Note that a request is about to be sent to an endpoint."""
         with self._lock:
-            self._doubts.begin(endpoint.key, request, attempt)
+            self._crash_candidates.begin(endpoint.key, request, attempt)
 
     def end(
         self,
@@ -203,18 +208,19 @@
         """Note how an attempt ended."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._doubts.end(endpoint.key, request, attempt, ending, now_s)
-            is_known = self._doubts.has_ended(endpoint.key)
-            is_cleared = ending is crash_candidates.Ending.SURVIVED and self._survived(
-                request, now_s
+            self._crash_candidates.end(endpoint.key, request, attempt, ending, now_s)
+            is_known = self._crash_candidates.has_ended(endpoint.key)
+            is_cleared = (
+                ending is crash_candidates.Ending.SURVIVED
+                and self._note_complete_response(request, now_s)
             )
         if is_cleared:
-            self.on_news()
+            self.on_reportable()
         elif (
             ending in (crash_candidates.Ending.BROKE, crash_candidates.Ending.CLOSED)
             and not is_known
         ):
-            self.on_broke(endpoint)
+            self.on_connection_broken(endpoint)
 
     def writes(
         self,
@@ -222,120 +228,134 @@
         request: crash_candidates.RequestIdentity,
         attempt: attempts.Attempt,
     ) -> None:
-        """Note that an answer has gone on for so long that no part of its prompt ends endpoints."""
+        """Note a response that has gone on for so long that its prompt parts cause no crash.
+
+        Its parts are no crash candidates at this endpoint any more.
+        """
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._doubts.clear_parts(endpoint.key, attempt)
-            is_cleared = self._parts_survived(request, now_s)
+            self._crash_candidates.clear_parts(endpoint.key, attempt)
+            is_cleared = self._note_parts_survived(request, now_s)
         if is_cleared:
-            self.on_news()
+            self.on_reportable()
 
     def lives_on(self, endpoint: membership.Endpoint) -> None:
-        """Note that an endpoint has begun a success: what it closed before was whole."""
+        """Note that an endpoint has begun a successful response.
+
+        Responses that ended with their connection before that were complete.
+        """
         now_s = self._clock.monotonic_s()
         with self._lock:
-            whole = self._doubts.confirm_alive(endpoint.key, now_s)
-            cleared = [self._survived(each, now_s) for each in whole]
+            completed = self._crash_candidates.confirm_alive(endpoint.key, now_s)
+            cleared = [self._note_complete_response(each, now_s) for each in completed]
         if any(cleared):
-            self.on_news()
+            self.on_reportable()
 
     def looked(self, endpoint: membership.Endpoint, *, listens: bool | None) -> None:
-        """Take what a look at an endpoint's address has shown."""
+        """Apply the result of a probe of an endpoint's address.
+
+        ``listens`` is ``False`` if it refused the connection, ``None`` if that is not known.
+        """
         now_s = self._clock.monotonic_s()
         with self._lock:
             if listens:
-                self._doubts.note_reachable(endpoint.key, now_s)
+                self._crash_candidates.note_reachable(endpoint.key, now_s)
             if listens is not False:
                 return
-            in_doubt = self._doubts.conclude_ended(endpoint.key, now_s)
-            self._add_crashes(endpoint.key, in_doubt)
-        self._announce(endpoint.key, "refuses connections", in_doubt)
+            candidates = self._crash_candidates.conclude_ended(endpoint.key, now_s)
+            self._add_crashes(endpoint.key, candidates)
+        self._log_crash(endpoint.key, "refuses connections", candidates)
 
     def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
-        """Take the list of endpoints: one that vanished without leaving has ended."""
+        """Take the list of endpoints: one that vanished without shutting down has crashed."""
         leaving = {each.key: each.leaving for each in endpoints}
         with self._lock:
-            vanished = self._doubts.update_listed(leaving, self._clock.monotonic_s())
-            for life, in_doubt in vanished.items():
-                self._add_crashes(life, in_doubt)
-        for life, in_doubt in vanished.items():
-            self._announce(life, "is listed no more", in_doubt)
+            vanished = self._crash_candidates.update_listed(leaving, self._clock.monotonic_s())
+            for incarnation, candidates in vanished.items():
+                self._add_crashes(incarnation, candidates)
+        for incarnation, candidates in vanished.items():
+            self._log_crash(incarnation, "is listed no more", candidates)
 
     def trial_ended(self, end: suspect_messages.TrialEnd) -> None:
-        """Note that a trial is over."""
+        """Queue the end of a trial for the next report."""
         with self._lock:
             self._trial_ends[end] = None
-            _bound(self._trial_ends)
-        self.on_news()
+            _drop_oldest(self._trial_ends)
+        self.on_reportable()
 
     def news(self) -> suspect_messages.Report:
-        """Return what is yet to be reported."""
+        """Return what is not reported yet, at most `MAX_REPORTED` crashes of it."""
         with self._lock:
-            self._doubts.forget(self._clock.monotonic_s())
+            self._crash_candidates.forget(self._clock.monotonic_s())
             return suspect_messages.Report(
-                crashes=tuple(self._crashes)[:MOST_REPORTED],
+                crashes=tuple(self._crashes)[:MAX_REPORTED],
                 trial_ends=tuple(self._trial_ends),
                 cleared=tuple(self._cleared),
             )
 
     def reported(self, report: suspect_messages.Report) -> None:
-        """Drop what is in the log now."""
+        """Drop what the control boxes' log contains now."""
         with self._lock:
             for crash in report.crashes:
                 if crash in self._crashes:
                     self._drop_crash(crash)
-                    self._expect(crash)
+                    self._assume_published(crash)
             for end in report.trial_ends:
                 self._trial_ends.pop(end, None)
             for fingerprint in report.cleared:
                 self._cleared.pop(fingerprint, None)
 
-    def _expect(self, crash: suspect_messages.Crash) -> None:
-        """Keep an end against a part that is in the log now, until this box is told of it.
+    def _assume_published(self, crash: suspect_messages.Crash) -> None:
+        """Count a crash against a part from when the log has it until the control box sends it.
 
-        Other boxes may have told of the same end: what was told before stands.
+        Other boxes may have reported the same crash: a summary that was received before stays.
         """
         feature = crash.fingerprint
-        if fingerprints.is_part(feature) and feature not in self._heard:
-            self._heard[feature] = _Heard(
+        if fingerprints.is_part(feature) and feature not in self._published:
+            self._published[feature] = _PublishedSuspect(
                 suspect_messages.SuspectSummary(feature, 1, pools=(crash.pool,))
             )
 
-    def _survived(self, request: crash_candidates.RequestIdentity, now_s: float) -> bool:
-        """Take it that a request was answered whole; tell whether that clears anything."""
-        is_cleared = self._speaks_against(request.fingerprint)
+    def _note_complete_response(
+        self, request: crash_candidates.RequestIdentity, now_s: float
+    ) -> bool:
+        """Note a complete response to a request; tell whether that clears a feature."""
+        is_cleared = self._is_implicated(request.fingerprint)
         if is_cleared:
             self._clear(request.fingerprint)
-        return self._parts_survived(request, now_s) or is_cleared
+        return self._note_parts_survived(request, now_s) or is_cleared
 
-    def _parts_survived(self, request: crash_candidates.RequestIdentity, now_s: float) -> bool:
+    def _note_parts_survived(self, request: crash_candidates.RequestIdentity, now_s: float) -> bool:
         if not request.parts:
             return False
         self._survivals.note(request.pool, request.parts, now_s)
-        if not (self._heard or self._crashes):
+        if not (self._published or self._crashes):
             return False
-        spoken_against = [each for each in request.parts if self._speaks_against(each)]
-        cleared = [each for each in spoken_against if self._clears(each, request.pool)]
+        implicated = [each for each in request.parts if self._is_implicated(each)]
+        cleared = [each for each in implicated if self._is_cleared_by_pool(each, request.pool)]
         for feature in cleared:
             self._clear(feature)
         return bool(cleared)
 
-    def _clears(self, feature: str, pool: str) -> bool:
-        """Tell whether a survival in a pool clears a part: it may end the endpoints of another."""
-        pools = self._heard.get(feature, _UNHEARD).told.pools
+    def _is_cleared_by_pool(self, feature: str, pool: str) -> bool:
+        """Tell whether a survival in a pool clears a part.
+
+        It does in a pool where the part is implicated: it may crash the endpoints of one pool only.
+        """
+        pools = self._published.get(feature, _NOT_PUBLISHED).summary.pools
         pools += tuple(each.pool for each in self._crashes if each.fingerprint == feature)
         return pool in pools
 
     def _clear(self, fingerprint: str) -> None:
         self._cleared[fingerprint] = None
-        _bound(self._cleared)
+        _drop_oldest(self._cleared)
         self._drop_crashes(fingerprint)
         if fingerprints.is_part(fingerprint):
-            # Each survival until this box is told would say it once more.
-            self._heard.pop(fingerprint, None)
+            # Else each survival would clear it again until the control box sends the removal.
+            self._published.pop(fingerprint, None)
 
-    def _speaks_against(self, fingerprint: str) -> bool:
-        return fingerprint in self._heard or fingerprint in self._unreported
+    def _is_implicated(self, fingerprint: str) -> bool:
+        return fingerprint in self._published or fingerprint in self._unreported
 
     def _drop_crashes(self, fingerprint: str) -> None:
         if fingerprint not in self._unreported:
@@ -353,48 +373,50 @@
         if crash not in self._crashes:
             self._crashes[crash] = None
             self._unreported[crash.fingerprint] += 1
-        while len(self._crashes) > MOST_PENDING:
+        while len(self._crashes) > MAX_PENDING:
             self._drop_crash(next(iter(self._crashes)))
 
     def _add_crashes(
-        self, life: str, in_doubt: tuple[crash_candidates.RequestIdentity, ...]
+        self, incarnation: str, candidates: tuple[crash_candidates.RequestIdentity, ...]
     ) -> None:
-        if self._ends_by_itself(life):
+        if self._ends_by_itself(incarnation):
             return
-        since_s = self._clock.monotonic_s() - SURVIVED_S
-        for each in in_doubt:
+        since_s = self._clock.monotonic_s() - SURVIVAL_WINDOW_S
+        for each in candidates:
             pools = (each.pool,)
             parts = [
                 x for x in each.parts if not self._survivals.has_survived_since(x, pools, since_s)
             ]
             for feature in (each.fingerprint, *parts):
-                self._add_crash(suspect_messages.Crash(feature, each.workspace, life, each.pool))
+                self._add_crash(
+                    suspect_messages.Crash(feature, each.workspace, incarnation, each.pool)
+                )
 
-    def _announce(
-        self, life: str, sign: str, in_doubt: tuple[crash_candidates.RequestIdentity, ...]
+    def _log_crash(
+        self, incarnation: str, sign: str, candidates: tuple[crash_candidates.RequestIdentity, ...]
     ) -> None:
-        if not in_doubt:
+        if not candidates:
             return
         self._counters.endpoint_ended(sign)
         events.emit(
             _LOG,
             events.Event.ENDPOINT_ENDED,
             level=logging.WARNING,
-            endpoint=life,
+            endpoint=incarnation,
             sign=sign,
-            requests=len(in_doubt),
-            fingerprints=[each.fingerprint for each in in_doubt[:MOST_REPORTED]],
-            parts=_parts(in_doubt),
+            requests=len(candidates),
+            fingerprints=[each.fingerprint for each in candidates[:MAX_REPORTED]],
+            parts=_distinct_parts(candidates),
         )
-        self.on_news()
+        self.on_reportable()
 
 
-def _parts(in_doubt: Iterable[crash_candidates.RequestIdentity]) -> list[str]:
-    """Return the parts that may have ended an endpoint, each once."""
-    return list(dict.fromkeys(part for each in in_doubt for part in each.parts))[:MOST_REPORTED]
+def _distinct_parts(candidates: Iterable[crash_candidates.RequestIdentity]) -> list[str]:
+    """Return the parts that may have crashed an endpoint, without duplicates."""
+    return list(dict.fromkeys(part for each in candidates for part in each.parts))[:MAX_REPORTED]
 
 
-def _bound(pending: dict[Any, None]) -> None:
-    """Drop the oldest of what waits to be reported where it is too much."""
-    while len(pending) > MOST_PENDING:
+def _drop_oldest(pending: dict[Any, None]) -> None:
+    """Drop the oldest entries beyond `MAX_PENDING`."""
+    while len(pending) > MAX_PENDING:
         del pending[next(iter(pending))]
--- a/src/croftpulley/controllers/suspicion_reports.py
+++ b/src/croftpulley/controllers/suspicion_reports.py
@@ -1,8 +1,7 @@
-"""What a router says to the leading control box of requests under which endpoints end.
+"""A router's reports to the leading control box about requests that may crash endpoints.
 
-Request threads ask for trials (`Trials`). `SuspicionController` looks at endpoints whose
-connections broke off and reports what was met; no request waits for either unless it is a suspect
-itself.
+Request threads ask for trials (`Trials`). `SuspicionController` probes endpoints whose connections
+broke and reports what it observed. No request waits for either unless it is a suspect itself.
 """
 
 from __future__ import annotations
@@ -21,13 +20,13 @@
 from croftpulley.observe import metrics
 from croftpulley.transport import box_messages, json_codec, links
 
-_SILENT_TRIED = 2
-"""Other endpoints of which nothing comes back, before a look takes this box for cut off; each takes
-the whole time for a connection."""
+_MAX_SILENT_PROBES = 2
+"""After this many other endpoints timed out, a probe assumes that this box is cut off; each takes
+the whole connection timeout."""
 
 
 class Trials:
-    """Asks the leading control box whether a suspect may be tried, from request threads."""
+    """Client for trials of suspects at the leading control box, used by request threads."""
 
     def __init__(
         self,
@@ -46,7 +45,8 @@
     ) -> suspect_messages.TrialAnswer | None:
         """Return the leading control box's answer, ``None`` if there is none.
 
-        What this router has yet to report goes along, and is in the log before the answer is made.
+        The request carries what this router has yet to report. The control box puts that into the
+        log before it decides.
         """
         report = self._suspicion.news()
         request = box_messages.TrialRequest(
@@ -69,19 +69,19 @@
 
 
 @attrs.frozen
-class _Look:
-    """Asks whether anybody listens at an endpoint's address."""
+class _Probe:
+    """Message: probe whether an endpoint's address accepts connections."""
 
     endpoint: membership.Endpoint
 
 
 @attrs.frozen
 class _Report:
-    """Asks to report what is new."""
+    """Message: report what is not reported yet."""
 
 
 class SuspicionController(actors.Controller):
-    """Looks at endpoints whose connections broke off, and reports; tried again at each tick."""
+    """Probes endpoints whose connections broke, and sends reports; retries them at each tick."""
 
     def __init__(
         self,
@@ -98,26 +98,26 @@
         self._connect_timeout_s = connect_timeout_s
         self._dialer = dialer
         self._links = links.Links(timeout_s, counters)
-        self._looked: dict[str, None] = {}
+        self._probed: dict[str, None] = {}
 
     def on_start(self) -> None:
-        """Have requests' threads tell what they meet."""
-        self._suspicion.on_broke = lambda endpoint: self.tell_self(_Look(endpoint))
-        self._suspicion.on_news = lambda: self.tell_self(_Report())
+        """Subscribe to what request threads observe."""
+        self._suspicion.on_connection_broken = lambda endpoint: self.tell_self(_Probe(endpoint))
+        self._suspicion.on_reportable = lambda: self.tell_self(_Report())
 
     def handle(self, message: object) -> None:
-        """Look, or report."""
+        """Probe an endpoint or send a report."""
         match message:
-            case _Look(endpoint):
-                # Requests that were under way together break off together: one look does.
-                if endpoint.key not in self._looked:
-                    self._looked[endpoint.key] = None
+            case _Probe(endpoint):
+                # Requests in flight at one endpoint break together; one probe per tick is enough.
+                if endpoint.key not in self._probed:
+                    self._probed[endpoint.key] = None
                     listed = self._view.get().endpoints
                     look(self._suspicion, endpoint, listed, self._connect_timeout_s, self._dialer)
             case _Report():
                 self._report()
             case actors.Tick():
-                self._looked.clear()
+                self._probed.clear()
                 self._report()
 
     def _report(self) -> None:
@@ -133,7 +133,7 @@
                 box_messages.SuspectReportAnswer,
             )
         except errors.CroftpulleyError:
-            # The link has counted it; the next tick tries again.
+            # The link has counted the failure; the next tick retries.
             return
         if answer.is_taken:
             self._suspicion.reported(report)
@@ -146,19 +146,19 @@
     timeout_s: float,
     dialer: dialing.Dialer,
 ) -> None:
-    """Look whether an endpoint is still there, and take what that shows.
+    """Probe whether an endpoint still accepts connections, and record the result.
 
-    That nobody listens there is believed only while another listed endpoint can be reached: else
-    this box may have lost its own links.
+    A refused connection counts only while another listed endpoint can be reached, if there is one:
+    otherwise this box may have lost its own network.
     """
     listens = dialer.listens(endpoint.address, timeout_s)
     others = [each for each in listed if each.key != endpoint.key]
-    if listens is False and others and not _reaches_one(others, timeout_s, dialer):
+    if listens is False and others and not _can_reach_any(others, timeout_s, dialer):
         listens = None
     known.looked(endpoint, listens=listens)
 
 
-def _reaches_one(
+def _can_reach_any(
     endpoints: list[membership.Endpoint], timeout_s: float, dialer: dialing.Dialer
 ) -> bool:
     silent = 0
@@ -167,11 +167,11 @@
         if listens:
             return True
         silent += listens is None
-        if silent == _SILENT_TRIED:
+        if silent == _MAX_SILENT_PROBES:
             break
     return False
 
 
 def new_trial() -> str:
-    """Return the name of a trial."""
+    """Return a new, unique trial ID."""
     return uuid.uuid4().hex
--- a/src/croftpulley/controllers/withdrawals.py
+++ b/src/croftpulley/controllers/withdrawals.py
@@ -1,4 +1,7 @@
-"""The controller of a router that ends rests and tells how many endpoints want no requests."""
+"""The controller of a router that ends rests and counts the endpoints that want no requests.
+
+A rest is the time for which an endpoint asks for no requests (503 with Retry-After).
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class WithdrawalController(actors.Controller):
-    """Looks at each tick which rests are over."""
+    """Removes expired rests and updates the gauges of withdrawn endpoints at each tick."""
 
     def __init__(
         self,
@@ -24,11 +27,11 @@
         self._counts = counts
         self._view = view
         self._counters = counters
-        self._told: set[str] = set()
+        self._gauged_pools: set[str] = set()
 
     def handle(self, message: object) -> None:
-        """Look once."""
-        for ended in self._counts.end_rests():
+        """Log the rests that are over and update the gauges."""
+        for ended in self._counts.expire_rests():
             events.emit(
                 _LOG,
                 events.Event.REST_ENDED,
@@ -36,20 +39,20 @@
                 rest_s=round(ended.rest_s, 3),
                 sent_since=ended.sent_since,
             )
-        self._tell()
+        self._update_gauges()
 
-    def _tell(self) -> None:
-        """Set the gauge of each pool that has such endpoints, or had some at the last look."""
+    def _update_gauges(self) -> None:
+        """Set the gauge of each pool that has withdrawn endpoints or had some at the last tick."""
         resting: collections.Counter[str] = collections.Counter()
         leaving: collections.Counter[str] = collections.Counter()
         withdrawn = self._counts.withdrawn()
-        if not (withdrawn or self._told):
+        if not (withdrawn or self._gauged_pools):
             return
         for each in self._view.get().endpoints:
-            said = withdrawn.get(each.key)
-            if said is not None:
-                (leaving if said.leaves else resting)[each.pool] += 1
+            withdrawal = withdrawn.get(each.key)
+            if withdrawal is not None:
+                (leaving if withdrawal.leaves else resting)[each.pool] += 1
         now = resting.keys() | leaving.keys()
-        for pool in now | self._told:
+        for pool in now | self._gauged_pools:
             self._counters.withdrawn(pool, resting[pool], leaving[pool])
-        self._told = set(now)
+        self._gauged_pools = set(now)
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -1,4 +1,4 @@
-"""What a router's own connections say of its ways to pools, and what a cut must not teach."""
+"""A router's paths to pools: when one is lost or back, and what a cut must not be taken for."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Nobody(dialing.Dialer):
-    """Links over which nobody is reached, but for addresses that are."""
+    """A dialer that reaches only the given addresses."""
 
     def __init__(self, *reached):
         self.reached = reached
@@ -81,7 +81,7 @@
     assert known.lost == frozenset()
 
 
-def test_a_way_that_comes_and_goes_is_there_once_two_connections_are_made(known, clock):
+def test_a_path_that_was_lost_twice_is_back_after_two_connections(known, clock):
     lose(known)
     known.connected(WORKERS[0])
     clock.advance(core.PROBE_VALID_S)
@@ -92,20 +92,20 @@
     assert known.lost == frozenset()
 
 
-def test_one_that_is_reached_in_between_shows_that_the_others_are_to_blame(known):
+def test_a_connection_between_two_failures_keeps_the_pool_from_being_lost(known):
     known.unreached(WORKERS[0], CUT)
     known.connected(WORKERS[2])
     known.unreached(WORKERS[1], CUT)
     assert known.lost == frozenset()
 
 
-def test_the_first_connection_that_is_made_shows_that_the_way_is_there_again(known):
+def test_the_first_connection_that_is_made_shows_that_the_path_is_back(known):
     lose(known)
     known.connected(WORKERS[2])
     assert known.lost == frozenset()
 
 
-def test_failures_while_the_way_is_lost_are_reported_of_nobody(known, counts):
+def test_failures_while_the_path_is_lost_are_not_counted_for_any_endpoint(known, counts):
     lose(known)
     known.failed(WORKERS[2])
     known.connected(WORKERS[0])
@@ -124,7 +124,7 @@
     assert counts.take_outcomes() == {"w1": (0, 1)}
 
 
-def test_after_a_cut_no_endpoint_is_avoided_for_what_was_met_in_it(known, counts, clock):
+def test_a_path_that_is_back_ends_the_back_offs_of_its_pool(known, counts, clock):
     lose(known)
     known.connected(WORKERS[0])
     known.connected(WORKERS[1])
@@ -134,7 +134,7 @@
     assert max(avoided) <= clock.monotonic_s()
 
 
-def test_a_refused_connection_ends_an_endpoint_only_while_another_one_is_reached(clock):
+def test_a_refused_connection_shows_a_crash_only_while_another_endpoint_is_reached(clock):
     links = cut_links.Links()
     listed = [worker(f"w{n}", address=f"127.0.0.1:{n}") for n in range(1, 7)]
     suspected = suspicion.Suspicion(clock, metrics.Metrics(()))
--- a/testing/controllers/test_sessions.py
+++ b/testing/controllers/test_sessions.py
@@ -1,4 +1,4 @@
-"""What the leading control box tells a router with its lease."""
+"""What the leading control box sends to a router with its lease."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Applied(agreement.CommandLog):
-    """A state that knows the router."""
+    """A command log with the router in its state, which applies commands when a test commits."""
 
     def __init__(self, version):
         self.proposed = []
@@ -40,11 +40,11 @@
             self._state.apply(replicated_state.SubmitConfiguration(submitted))
 
     def propose(self, command):
-        """Keep what is proposed; a test commits it."""
+        """Store a command until `commit`."""
         self.proposed.append(command)
 
     def commit(self):
-        """Commit what was proposed."""
+        """Apply the proposed commands."""
         while self.proposed:
             self._state.apply(self.proposed.pop(0))
 
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def make_leader():
-    """Return a controller of a box that has just come to lead, and its clock."""
+    """Return a function that makes the controller of a new leader, and its clock."""
 
     def make(version=0, view=None):
         clock = clocks.ManualClock()
@@ -87,19 +87,19 @@
 
 
 @pytest.fixture
-def told_after(make_leader):
-    """Return what a router is told of endpoints, some time after the list was read."""
+def endpoints_after(make_leader):
+    """Return a function: the endpoints sent to a router at a given age of the list."""
 
-    def tell(age_s, known_version):
+    def send(age_s, known_version):
         controller, clock = make_leader()
         clock.advance(age_s)
         return controller.handle(report(known_version)).endpoints
 
-    return tell
+    return send
 
 
 @pytest.mark.parametrize(
-    ("age_s", "known_version", "told"),
+    ("age_s", "known_version", "sent"),
     [
         (0.1, 0, (ENDPOINT,)),
         (0.1, 7, (ENDPOINT,)),
@@ -107,19 +107,19 @@
         (60.0, 0, (ENDPOINT,)),
     ],
 )
-def test_a_list_read_long_ago_is_told_only_to_a_router_that_has_none(
-    told_after, age_s, known_version, told
+def test_an_old_list_is_sent_only_to_a_router_without_one(
+    endpoints_after, age_s, known_version, sent
 ):
-    assert told_after(age_s, known_version) == told
+    assert endpoints_after(age_s, known_version) == sent
 
 
-def test_notes_that_come_before_the_first_renewal_of_a_leadership_are_told(make_leader):
+def test_notes_that_arrive_before_the_first_renewal_of_a_term_are_sent(make_leader):
     controller, _ = make_leader()
     controller.handle(sessions.PostNotes({"e": ("part",)}))
     assert controller.handle(report()).notes == {"e": ("part",)}
 
 
-def test_a_note_of_a_life_that_is_not_listed_is_told_to_nobody(make_leader):
+def test_notes_of_unlisted_incarnations_are_not_sent(make_leader):
     controller, _ = make_leader()
     controller.handle(sessions.PostNotes({"e": ("part",), "e@1": ("old",), "x": ("other",)}))
     assert controller.handle(report()).notes == {"e": ("part",)}
@@ -138,13 +138,13 @@
         return False
 
 
-def test_a_box_that_comes_back_behind_has_no_lease_and_holds_up_no_acknowledgement(make_leader):
+def test_a_box_that_returns_with_an_old_version_gets_no_lease_and_delays_no_wait(make_leader):
     controller, clock = make_leader(version=5)
     answer = controller.handle(report())
     assert (answer.lease_s, answer.configuration_version) == (0.0, 5)
     assert controller.handle(sessions.Status()).boxes == ()
     done = waits_for(controller, 5)
-    # A leader that has just come counts a lease from the one before; none is added to that.
+    # A new leader assumes a lease from the leader before it. The renewals below must not extend it.
     assert not is_in_force(done)
     for _ in range(4):
         clock.advance(1.0)
@@ -169,7 +169,7 @@
     assert is_in_force(done)
 
 
-def test_who_waits_goes_on_waiting_through_a_moment_without_authority(make_leader):
+def test_a_wait_continues_through_a_moment_without_authority(make_leader):
     view = actors.View(LEADS)
     controller, _ = make_leader(version=5, view=view)
     controller.handle(report(configuration_version=5))
@@ -193,7 +193,7 @@
         attrs.evolve(NO_AUTHORITY, term=2),
     ],
 )
-def test_who_waits_is_told_when_another_may_lead(make_leader, standing):
+def test_a_wait_fails_when_another_box_may_lead(make_leader, standing):
     view = actors.View(LEADS)
     controller, _ = make_leader(version=5, view=view)
     controller.handle(report(configuration_version=5))
@@ -204,14 +204,14 @@
         done.get(timeout=0)
 
 
-def test_routers_are_told_which_control_boxes_are_silent(make_leader):
+def test_routers_get_the_addresses_of_silent_control_boxes(make_leader):
     silent = attrs.evolve(LEADS, silent_addresses=("127.0.0.1:8",))
     controller, _ = make_leader(view=actors.View(silent))
     assert controller.handle(report()).silent_addresses == ("127.0.0.1:8",)
 
 
-def test_the_loads_told_hold_what_the_router_has_just_reported(make_leader):
-    # It takes its own part off them: a sum from before would leave it loads that nobody has.
+def test_the_loads_sent_contain_what_the_router_has_just_reported(make_leader):
+    # The router subtracts its own loads; with an older sum, loads that no box has would remain.
     controller, clock = make_leader()
     for in_flight in ({"e": 2}, {}, {"e": 1}):
         clock.advance(0.001)
@@ -222,7 +222,7 @@
 OTHER = attrs.evolve(BOX, name="other")
 
 
-def test_a_new_leader_tells_of_every_registered_box_though_it_has_heard_of_one(make_leader):
+def test_a_new_leader_counts_registered_boxes_that_it_has_not_heard_from(make_leader):
     controller, _ = make_leader()
     controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
     answer = controller.handle(report())
@@ -230,7 +230,7 @@
 
 
 def after_silence(controller, clock, silent_s):
-    """Let the time pass in which no box renews."""
+    """Let the leases expire and then ``silent_s`` pass, without renewals."""
     clock.advance(LEASE_S + MARGIN_S)
     controller.handle(actors.Tick())
     clock.advance(silent_s)
@@ -247,8 +247,8 @@
     assert controller._command_log.proposed == [replicated_state.ForgetBox(BOX.name)]
 
 
-def test_a_box_that_comes_back_as_it_is_forgotten_has_a_lease_once_it_is_registered(make_leader):
-    # Granted before the log forgets the box, no next leader would wait for that lease to end.
+def test_a_box_that_returns_during_its_removal_gets_a_lease_once_registered_again(make_leader):
+    # No next leader would wait for a lease that was granted before the log removes the box.
     controller, clock = make_leader()
     controller.handle(report())
     after_silence(controller, clock, KEPT_S)
@@ -260,11 +260,12 @@
     assert (answer.lease_s, answer.registered_boxes) == (LEASE_S, 1)
 
 
-def test_a_new_leader_tells_no_loads_before_every_registered_box_has_told_its_own(make_leader):
-    """Routers that took the sum of one box for that of all sent to endpoints that others filled.
+def test_a_new_leader_sends_no_loads_before_every_registered_box_has_reported_its_own(make_leader):
+    """Guards against routers that take the loads of some boxes for those of all.
 
-    A leader that has just come knew of the loads of those alone that had renewed with it, up to a
-    renewal (0.25 s) after the others, and told their sum as that of all.
+    A new leader knew only the loads of the boxes that had renewed with it, others up to a renewal
+    (0.25 s) later, and sent their sum as that of all. Routers then sent to endpoints that other
+    boxes filled.
     """
     controller, _ = make_leader()
     controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
@@ -274,29 +275,29 @@
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads == (5,)
 
 
-def test_a_box_that_is_gone_keeps_loads_back_for_a_moment_only(make_leader):
+def test_an_absent_box_delays_loads_only_for_a_limited_time(make_leader):
     controller, clock = make_leader()
     controller._command_log.read().apply(replicated_state.RegisterBox(OTHER))
     controller.handle(attrs.evolve(report(), in_flight={"e": 2}))
-    clock.advance(sessions.LOADS_AWAITED_S)
+    clock.advance(sessions.LOADS_WAIT_S)
     assert controller.handle(attrs.evolve(report(), in_flight={"e": 2})).loads == (2,)
 
 
-def test_an_evacuation_is_in_force_once_every_box_has_said_that_it_obeys(make_leader):
+def test_an_evacuation_is_in_force_once_every_box_has_reported_its_revision(make_leader):
     controller, _ = make_leader()
     controller.handle(report())
     controller._command_log.read().apply(replicated_state.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
     controller.handle(in_force.AwaitInForce(box_sessions.AppliedVersions(halls_revision=1), done))
-    told = controller.handle(report()).evacuated
-    assert (told.revision, told.names) == (1, ("hall-b",))
+    evacuated = controller.handle(report()).evacuated
+    assert (evacuated.revision, evacuated.names) == (1, ("hall-b",))
     assert not is_in_force(done)
     answer = controller.handle(attrs.evolve(report(), halls_revision=1))
     assert answer.evacuated is None
     assert is_in_force(done)
 
 
-def test_an_evacuation_waits_for_the_lease_of_a_box_that_is_not_heard(make_leader):
+def test_an_evacuation_waits_until_the_lease_of_an_unheard_box_expires(make_leader):
     controller, clock = make_leader()
     controller._command_log.read().apply(replicated_state.EvacuateHall("hall-b"))
     done = pykka.ThreadingFuture()
@@ -309,14 +310,14 @@
     assert is_in_force(done)
 
 
-def test_a_cold_endpoint_is_told_to_every_box_and_open_to_those_that_are_allotted_some(make_leader):
+def test_a_cold_endpoint_gets_a_quota_once_those_of_the_previous_leader_expired(make_leader):
     controller, clock = make_leader()
     listed = listing.Listing(
         versions.Versioned((ENDPOINT,)), clock.monotonic_s(), {"e": clock.monotonic_s() + 60}
     )
     controller._endpoints.publish(listed)
     controller._cold_per_s = lambda: {"llm": 4.0}
-    # What the leader before allotted must have run out first.
+    # The quotas of the previous leader must expire first. Encoded quotas are one more: 1 means 0.
     assert controller.handle(report()).cold == (1,)
     clock.advance(2.5)
     controller.handle(report())
--- a/testing/controllers/test_stream_origins.py
+++ b/testing/controllers/test_stream_origins.py
@@ -1,4 +1,4 @@
-"""When a stream may begin before other boxes know, and when it may not."""
+"""When a stream may begin before other boxes know it, and when streams are announced."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 NOBODY_LISTENS = tuple(
     membership.Box(name, "hall-a", "", "127.0.0.1:1") for name in ("box-0", "box-1", "box-2")
 )
-TOLD = origins.OriginAnnouncement(
+ANNOUNCEMENT = origins.OriginAnnouncement(
     origins.StreamId("clinic", "r-1"), origins.Origin("llm", "v2"), 60.0
 )
 
@@ -42,46 +42,50 @@
     return made
 
 
-def test_no_stream_begins_at_a_new_version_of_which_no_other_box_could_be_told(known):
+def test_a_stream_of_a_new_version_is_refused_if_no_other_box_takes_the_announcement(known):
     with pytest.raises(errors.CroftpulleyError) as caught:
-        known.begun(TOLD, always_told=False)
+        known.begun(ANNOUNCEMENT, always_told=False)
     assert caught.value.code is codes.ResultCode.ORIGIN_UNTOLD
 
 
-def test_a_stream_begins_at_a_new_version_where_there_is_no_other_box(known, view):
+def test_a_stream_of_a_new_version_begins_if_there_is_no_other_box(known, view):
     view.publish(attrs.evolve(view.get(), boxes=NOBODY_LISTENS[:1]))
-    known.begun(TOLD, always_told=False)
-    assert known.remembered(TOLD.stream) is not None
+    known.begun(ANNOUNCEMENT, always_told=False)
+    assert known.remembered(ANNOUNCEMENT.stream) is not None
 
 
-def test_a_stream_at_a_version_that_all_boxes_know_waits_for_no_box(known, view, clock):
-    clock.advance(stream_origins.NEW_S)
+def test_a_stream_of_a_version_that_all_boxes_know_waits_for_no_box(known, view, clock):
+    clock.advance(stream_origins.NEW_VERSION_S)
     view.publish(attrs.evolve(view.get(), heard_at_s=clock.monotonic_s()))
-    known.begun(TOLD, always_told=False)
-    assert [each.stream for each in known.take_untold(frozenset())] == [TOLD.stream]
+    known.begun(ANNOUNCEMENT, always_told=False)
+    assert [each.stream for each in known.take_unannounced(frozenset())] == [ANNOUNCEMENT.stream]
 
 
-def test_a_stream_of_a_settled_pool_is_told_once_its_pool_is_mixed(known, view):
+def test_a_stream_of_a_settled_pool_is_announced_once_its_pool_is_mixed(known, view):
     view.publish(attrs.evolve(view.get(), mixed=frozenset()))
-    known.begun(TOLD, always_told=False)
-    assert known.take_untold(frozenset()) == []
+    known.begun(ANNOUNCEMENT, always_told=False)
+    assert known.take_unannounced(frozenset()) == []
     view.publish(attrs.evolve(view.get(), mixed=frozenset({"llm"})))
-    assert [each.stream for each in known.take_untold(frozenset())] == [TOLD.stream]
+    assert [each.stream for each in known.take_unannounced(frozenset())] == [ANNOUNCEMENT.stream]
 
 
-def test_streams_of_split_pools_are_told_always(known, view):
+def test_streams_of_split_pools_are_always_announced(known, view):
     view.publish(attrs.evolve(view.get(), mixed=frozenset()))
-    known.begun(TOLD, always_told=True)
-    assert [each.stream for each in known.take_untold(frozenset({"llm"}))] == [TOLD.stream]
+    known.begun(ANNOUNCEMENT, always_told=True)
+    assert [each.stream for each in known.take_unannounced(frozenset({"llm"}))] == [
+        ANNOUNCEMENT.stream
+    ]
 
 
 @pytest.mark.parametrize(("age_s", "is_settled"), [(1.9, True), (2.1, False)])
-def test_a_leaders_word_settles_a_pool_for_a_moment_only(view, clock, age_s, is_settled):
+def test_a_pool_counts_as_settled_only_while_the_leaders_answer_is_recent(
+    view, clock, age_s, is_settled
+):
     state = attrs.evolve(view.get(), mixed=frozenset())
     clock.advance(age_s)
     assert state.is_settled("llm", clock.monotonic_s()) is is_settled
 
 
-def test_a_leader_that_cannot_tell_settles_nothing(view, clock):
+def test_no_pool_counts_as_settled_while_the_leader_cannot_tell(view, clock):
     state = attrs.evolve(view.get(), mixed=None)
     assert not state.is_settled("llm", clock.monotonic_s())
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -1,4 +1,4 @@
-"""What the leading control box puts into the log of suspects, and what it answers without."""
+"""What the leading control box writes to the log about suspects, and what it answers without."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Log(agreement.CommandLog):
-    """Applies at once, or refuses."""
+    """A command log that applies each command at once, or fails all with NOT_LEADER."""
 
     def __init__(self):
         self.state = replicated_state.ReplicatedState()
@@ -63,7 +63,7 @@
     return suspect_register.SuspectRegister(log, standing, clocks.ManualClock())
 
 
-def test_an_end_that_others_told_of_counts_once():
+def test_a_crash_that_other_boxes_reported_too_counts_once():
     known = suspicion.Suspicion(clocks.ManualClock(), metrics.Metrics())
     kind = membership.EndpointKind.ENGINE
     endpoint = membership.Endpoint("e", kind, "llm", "127.0.0.1:9", "hall-a", "e")
@@ -72,15 +72,17 @@
     known.begin(endpoint, request, attempt)
     known.end(endpoint, request, attempt, crash_candidates.Ending.GIVEN_UP)
     known.looked(endpoint, listens=False)
-    told = suspect_messages.SuspectSummary("part-a", 1, pools=("llm",))
-    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(told,)))
+    summary = suspect_messages.SuspectSummary("part-a", 1, pools=("llm",))
+    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
     known.reported(known.news())
     assert known.standing("part-a").crashes == 1
 
 
-def report_of(*lives):
+def report_of(*incarnations):
     return suspect_messages.Report(
-        crashes=tuple(suspect_messages.Crash("f", "clinic", life) for life in lives)
+        crashes=tuple(
+            suspect_messages.Crash("f", "clinic", incarnation) for incarnation in incarnations
+        )
     )
 
 
@@ -89,46 +91,46 @@
     return register.begin_trial(request).answer
 
 
-def test_what_comes_with_a_request_for_a_trial_decides_on_it(register):
+def test_the_report_in_a_trial_request_counts_for_its_verdict(register):
     assert ask(register, "t1", report_of("e1")).verdict is suspect_messages.Verdict.FREE
     assert ask(register, "t1", report_of("e2")).verdict is suspect_messages.Verdict.GRANTED
 
 
 def test_only_a_grant_goes_into_the_log(register, log):
-    # Else whoever sends a suspect again and again would fill it.
+    # Otherwise a caller that repeats a suspect request would fill the log.
     ask(register, "t1", report_of("e1", "e2"))
     before = len(log.proposed)
     assert ask(register, "t2").verdict is suspect_messages.Verdict.BUSY
     assert len(log.proposed) == before
 
 
-def test_what_is_not_in_the_log_is_not_taken(register, log):
+def test_a_report_that_the_log_refuses_is_not_taken(register, log):
     log.refuses = True
     message = box_messages.SuspectReport(report=report_of("e1"))
     assert not register.report(message).is_taken
     assert ask(register, "t1", report_of("e1", "e2")) is None
 
 
-def test_a_box_without_authority_answers_nothing(register, log, standing):
+def test_a_box_without_authority_takes_no_reports_and_grants_no_trials(register, log, standing):
     standing.publish(NO_AUTHORITY)
     assert not register.report(box_messages.SuspectReport(report=report_of("e1"))).is_taken
     assert ask(register, "t1") is None
     assert log.proposed == []
 
 
-def test_a_router_puts_off_asking_for_a_moment():
+def test_a_router_delays_its_next_trial_request():
     clock = clocks.ManualClock()
     known = suspicion.Suspicion(clock, metrics.Metrics())
     known.put_off("f")
-    assert known.standing("f").put_off_for_s == suspicion.PUT_OFF_S
-    clock.advance(suspicion.PUT_OFF_S)
+    assert known.standing("f").put_off_for_s == suspicion.TRIAL_RETRY_DELAY_S
+    clock.advance(suspicion.TRIAL_RETRY_DELAY_S)
     assert known.standing("f").put_off_for_s == 0.0
 
 
-def test_what_waits_while_no_control_box_leads_is_bounded():
+def test_the_reports_pending_while_no_control_box_leads_are_bounded():
     known = suspicion.Suspicion(clocks.ManualClock(), metrics.Metrics())
-    for number in range(suspicion.MOST_PENDING + 10):
+    for number in range(suspicion.MAX_PENDING + 10):
         known.trial_ended(suspect_messages.TrialEnd("f", f"t{number}"))
     waiting = known.news().trial_ends
-    assert len(waiting) == suspicion.MOST_PENDING
+    assert len(waiting) == suspicion.MAX_PENDING
     assert waiting[0].trial == "t10"
--- a/testing/controllers/test_traffic.py
+++ b/testing/controllers/test_traffic.py
@@ -23,37 +23,37 @@
     return traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clocks.ManualClock())
 
 
-def asks(*shared):
-    """Return a request whose prompt begins with ``shared`` parts."""
+def call_facts(*shared):
+    """Return the facts of a call whose prompt begins with the ``shared`` parts."""
     parts = (*shared, "own")
     return calls.CallFacts(request_id="r", prompt=tuple(calls.PromptPart(p, 10) for p in parts))
 
 
-def test_an_endpoint_without_anything_to_read_leaves_no_entry(made):
-    # Endpoints have a new name with every start, and every renewal carries the entries.
+def test_an_endpoint_without_tokens_to_prefill_leaves_no_entry(made):
+    # Each start of an endpoint has a new name, and each renewal carries all entries.
     made.enter("worker-1")
     made.begin_reading(calls.CallFacts(request_id="r"), "worker-1", 0)
     made.leave("worker-1")
     assert made.load() == listed_counts.EndpointLoads()
 
 
-def test_notes_that_reached_nobody_go_out_with_the_next_report(made):
-    made.begin_reading(asks("p"), "e", 0)
+def test_undelivered_notes_are_in_the_next_report(made):
+    made.begin_reading(call_facts("p"), "e", 0)
     taken = made.take_notes()
-    made.begin_reading(asks("q"), "e", 0)
+    made.begin_reading(call_facts("q"), "e", 0)
     made.give_back_notes(taken)
     assert made.take_notes() == {"e": ("p", "q")}
     assert made.take_notes() == {}
 
 
-def test_all_that_is_remembered_of_an_endpoint_ends_with_its_life(made):
-    before, after = life(1), life(2)
+def test_all_records_of_an_endpoint_end_with_its_incarnation(made):
+    before, after = incarnation(1), incarnation(2)
     made.keep([before])
     made.enter(before.key)
-    made.begin_reading(asks("p"), before.key, 500)
+    made.begin_reading(call_facts("p"), before.key, 500)
     made.failed(before.key)
     made.keep([after])
-    # What was on its way comes late.
+    # Events of the old incarnation that arrive late.
     made.leave(before.key)
     made.end_reading(before.key, 500)
     made.failed(before.key)
@@ -61,13 +61,13 @@
     assert made.load() == listed_counts.EndpointLoads()
     assert made.take_notes() == {}
     assert made.take_outcomes() == {}
-    assert made.held_tokens(asks("p")) == {}
+    assert made.held_tokens(call_facts("p")) == {}
     assert made.candidates({after.key: after}, router_state.RouterState(), {})[
         0
     ].avoid_until_s == float("-inf")
 
 
-def life(born_ms):
+def incarnation(born_ms):
     kind = membership.EndpointKind.ENGINE
     return membership.Endpoint("e", kind, "llm", "127.0.0.1:1", "hall-a", "e", born_ms=born_ms)
 
@@ -85,10 +85,10 @@
     COUNTS,
     st.lists(st.tuples(st.sampled_from(KEYS), st.sampled_from(("enter", "leave", "failed")))),
 )
-def test_candidates_are_what_they_would_be_if_each_were_made_anew(
+def test_cached_candidates_equal_newly_computed_ones(
     loads, own_loads, reading, own_reading, held_off, held, events
 ):
-    """Most candidates are kept from one request to the next."""
+    """Most candidates are cached from one request to the next."""
     clock = clocks.ManualClock()
     rates = selection.CostRates(prefill_tokens_per_ms=0.002)
     made = traffic.Traffic(retry_budget.Allowance(), rates, clock)
@@ -119,12 +119,12 @@
             assert each.avoid_until_s == avoided
 
 
-def test_an_endpoint_that_asked_for_rest_is_full_with_less_than_it_had_then():
+def test_after_a_rest_an_endpoint_is_full_with_fewer_requests_than_before():
     clock = clocks.ManualClock()
     made = traffic.Traffic(retry_budget.Allowance(), selection.CostRates(), clock)
     for _ in range(10):
         made.enter("e")
-    # Requests that were under way together are turned away together: they count once.
+    # Requests in flight together are rejected together: these rejections count once.
     for _ in range(3):
         made.hear("e", withdrawal.Notice(rest_s=1.0))
         made.leave("e")
@@ -135,7 +135,7 @@
     clock.advance(window.WINDOW_TTL_S)
     for _ in range(100):
         made.enter("e")
-    made.end_rests()
+    made.expire_rests()
     assert not is_full(made)
 
 
