--- a/src/croftpulley/controllers/suspicion.py
+++ b/src/croftpulley/controllers/suspicion.py
@@ -74,7 +74,7 @@
 class _PublishedSuspect:
     """A suspect as the leading control box described it, and when its refusal ends by our clock."""
 
-    summary: suspect_messages.SuspectSummary
+    told: suspect_messages.SuspectSummary
     refused_until_s: float = 0.0
 
 
@@ -99,7 +99,7 @@
         self._counters = counters
         self._lock = threading.Lock()
         self._crash_candidates = crash_candidates.CrashCandidates()
-        self._published: dict[str, _PublishedSuspect] = {}
+        self._heard: dict[str, _PublishedSuspect] = {}
         self._revision = 0
         self._crashes: dict[suspect_messages.Crash, None] = {}
         self._unreported: collections.Counter[str] = collections.Counter()
@@ -125,12 +125,12 @@
         now_s = self._clock.monotonic_s()
         with self._lock:
             if update.is_whole:
-                self._published.clear()
+                self._heard.clear()
             for fingerprint in update.removed:
-                self._published.pop(fingerprint, None)
+                self._heard.pop(fingerprint, None)
             for summary in update.suspects:
                 refused_until_s = now_s + summary.refused_for_s if summary.refused_for_s else 0.0
-                self._published[summary.fingerprint] = _PublishedSuspect(summary, refused_until_s)
+                self._heard[summary.fingerprint] = _PublishedSuspect(summary, refused_until_s)
             self._revision = update.revision
             since_s = now_s - SURVIVAL_WINDOW_S - _MAX_UPDATE_DELAY_S
             cleared = [
@@ -153,26 +153,26 @@
         """Return those of the features that need a trial, each with its status."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            if not (self._published or self._crashes):
+            if not (self._heard or self._crashes):
                 return {}
             implicated = [each for each in names if self._is_implicated(each)]
             statuses = {each: self._status(each, now_s) for each in implicated}
         return {name: each for name, each in statuses.items() if each.needs_trial}
 
     def _status(self, fingerprint: str, now_s: float) -> Standing:
-        published = self._published.get(fingerprint, _NOT_PUBLISHED)
+        published = self._heard.get(fingerprint, _NOT_PUBLISHED)
         own = self._unreported[fingerprint]
         if fingerprints.is_part(fingerprint):
             # The control box's number does not include the crashes not reported yet.
-            crashes = published.summary.crashes + own
+            crashes = published.told.crashes + own
         else:
-            crashes = max(published.summary.crashes, own)
+            crashes = max(published.told.crashes, own)
         no_trial_until_s = self._no_trial_until_s.get(fingerprint, 0.0)
         return Standing(
             crashes=crashes,
             refused_for_s=max(0.0, published.refused_until_s - now_s),
             put_off_for_s=max(0.0, no_trial_until_s - now_s),
-            summary=published.summary,
+            summary=published.told,
         )
 
     def put_off(self, fingerprint: str) -> None:
@@ -311,8 +311,8 @@
         Other boxes may have reported the same crash: a summary that was received before stays.
         """
         feature = crash.fingerprint
-        if fingerprints.is_part(feature) and feature not in self._published:
-            self._published[feature] = _PublishedSuspect(
+        if fingerprints.is_part(feature) and feature not in self._heard:
+            self._heard[feature] = _PublishedSuspect(
                 suspect_messages.SuspectSummary(feature, 1, pools=(crash.pool,))
             )
 
@@ -329,7 +329,7 @@
         if not request.parts:
             return False
         self._survivals.note(request.pool, request.parts, now_s)
-        if not (self._published or self._crashes):
+        if not (self._heard or self._crashes):
             return False
         implicated = [each for each in request.parts if self._is_implicated(each)]
         cleared = [each for each in implicated if self._is_cleared_by_pool(each, request.pool)]
@@ -342,7 +342,7 @@
 
         It does in a pool where the part is implicated: it may crash the endpoints of one pool only.
         """
-        pools = self._published.get(feature, _NOT_PUBLISHED).summary.pools
+        pools = self._heard.get(feature, _NOT_PUBLISHED).told.pools
         pools += tuple(each.pool for each in self._crashes if each.fingerprint == feature)
         return pool in pools
 
@@ -352,10 +352,10 @@
         self._drop_crashes(fingerprint)
         if fingerprints.is_part(fingerprint):
             # Else each survival would clear it again until the control box sends the removal.
-            self._published.pop(fingerprint, None)
+            self._heard.pop(fingerprint, None)
 
     def _is_implicated(self, fingerprint: str) -> bool:
-        return fingerprint in self._published or fingerprint in self._unreported
+        return fingerprint in self._heard or fingerprint in self._unreported
 
     def _drop_crashes(self, fingerprint: str) -> None:
         if fingerprint not in self._unreported:
--- a/testing/controllers/test_sessions.py
+++ b/testing/controllers/test_sessions.py
@@ -187,18 +187,18 @@
 
 
 @pytest.mark.parametrize(
-    "standing",
+    "replica_status",
     [
         attrs.evolve(NO_AUTHORITY, role=states.Role.FOLLOWER),
         attrs.evolve(NO_AUTHORITY, term=2),
     ],
 )
-def test_a_wait_fails_when_another_box_may_lead(make_leader, standing):
+def test_a_wait_fails_when_another_box_may_lead(make_leader, replica_status):
     view = actors.View(LEADS)
     controller, _ = make_leader(version=5, view=view)
     controller.handle(report(configuration_version=5))
     done = waits_for(controller, 6)
-    view.publish(standing)
+    view.publish(replica_status)
     controller.handle(actors.Tick())
     with pytest.raises(errors.CroftpulleyError, match="NOT_LEADER"):
         done.get(timeout=0)
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -54,13 +54,13 @@
 
 
 @pytest.fixture
-def standing():
+def replica_status():
     return actors.View(LEADS)
 
 
 @pytest.fixture
-def register(log, standing):
-    return suspect_register.SuspectRegister(log, standing, clocks.ManualClock())
+def register(log, replica_status):
+    return suspect_register.SuspectRegister(log, replica_status, clocks.ManualClock())
 
 
 def test_a_crash_that_other_boxes_reported_too_counts_once():
@@ -111,8 +111,10 @@
     assert ask(register, "t1", report_of("e1", "e2")) is None
 
 
-def test_a_box_without_authority_takes_no_reports_and_grants_no_trials(register, log, standing):
-    standing.publish(NO_AUTHORITY)
+def test_a_box_without_authority_takes_no_reports_and_grants_no_trials(
+    register, log, replica_status
+):
+    replica_status.publish(NO_AUTHORITY)
     assert not register.report(box_messages.SuspectReport(report=report_of("e1"))).is_taken
     assert ask(register, "t1") is None
     assert log.proposed == []
