--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -256,7 +256,7 @@
             return None
         hop = forward_app.HopApp(self._view, self._chain, self._interface.names, self._clock)
         application = forward_app.PeerApp(self._origins, hop, self._counters)
-        return self._make_forward_http(application.handle, address, hops.HEADERS_ADDED)
+        return self._make_forward_http(application.handle, address, hops.MAX_HEADERS_ADDED)
 
     def _make_caller_http(self) -> server.HttpServer:
         application = forward_app.ForwardApp(
@@ -276,12 +276,12 @@
             settings.http,
             single_headers=("host", "content-length", names.request_id, names.key, names.budget_ms),
             passes_headers=True,
-            header_slack_bytes=headers_added * hops.HEADER_BYTES,
+            header_slack_bytes=headers_added * hops.MAX_ADDED_HEADER_SIZE_BYTES,
         )
 
     def _make_steps(self) -> chain.Steps:
         settings = self._settings
-        pools = service.Service(self._regions)
+        pools = service.MemberCache(self._regions)
         placement = place.Placement(
             settings.hall,
             self._view,
@@ -299,7 +299,7 @@
             find_route=rules.FindRoute(self._closed, self._clock),
             limit_time=rules.LimitTime(self._streams),
             take_up=take_up.TakeUp(self._origins, self._view, self._counters, self._clock),
-            by_peer=by_peer.ByPeer(self._reach, self._make_hops()),
+            by_peer=by_peer.ForwardToPeer(self._reach, self._make_hops()),
             take_permit=admission.TakePermit(
                 self._permits, self._traffic, self._counters, self._clock
             ),
@@ -308,7 +308,9 @@
                 sender.DirectSender(settings.connect_timeout_s, settings.silence_s, self._way_to),
                 self._traffic,
                 self._make_gate(),
-                departures.LastLook(self._view, self._traffic, pools, self._counters, self._clock),
+                departures.PreSendCheck(
+                    self._view, self._traffic, pools, self._counters, self._clock
+                ),
                 self._reach,
                 self._origins,
                 self._view,
@@ -321,9 +323,9 @@
     def _way_to(self, endpoint: membership.Endpoint) -> dialing.Dialer:
         return reach.NotingDialer(endpoint, self._reach, self._dialer)
 
-    def _make_hops(self) -> hops.Hops:
+    def _make_hops(self) -> hops.HopForwarder:
         settings = self._settings
-        return hops.Hops(
+        return hops.HopForwarder(
             settings.box,
             settings.hall,
             self._regions,
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -23,7 +23,7 @@
     vocabulary,
 )
 
-LEAST_BUDGET_S = 0.02
+MIN_BUDGET_S = 0.02
 """With less time left than this no endpoint can respond, so no attempt is sent."""
 
 
@@ -37,7 +37,7 @@
 
     endpoint: membership.Endpoint
     attempt: attempts.Attempt
-    answer: sender.Answer
+    response: sender.Response
     counts: traffic.Traffic
     on_close: Callable[[], None]
     on_event: Callable[[], None]
@@ -59,13 +59,13 @@
         """Free the connection and stop counting the attempt; a second call does nothing."""
         if not self.closed:
             self.closed = True
-            self.answer.close()
+            self.response.close()
             self.end_prefill()
             self.counts.leave(self.endpoint.key)
             self.on_close()
 
 
-class Opener:
+class AttemptOpener:
     """Sends attempts to endpoints and keeps the counts of what is in flight."""
 
     def __init__(
@@ -74,7 +74,7 @@
         counts: traffic.Traffic,
         gate: suspects.Gate,
         endpoint_notices: notices.Notices,
-        pre_send_check: departures.LastLook,
+        pre_send_check: departures.PreSendCheck,
         pool_reach: reach.Reach,
         header_names: vocabulary.Vocabulary,
         clock: clocks.Clock,
@@ -108,9 +108,9 @@
     ) -> OpenAttempt:
         endpoint = placed.endpoint
         budget_s = exchange.deadline_s - self._clock.monotonic_s()
-        if budget_s < LEAST_BUDGET_S:
+        if budget_s < MIN_BUDGET_S:
             deadline_error = errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
-            raise failures.final(exchange, deadline_error)
+            raise failures.error_for_caller(exchange, deadline_error)
         attempt = exchange.attempts.begin(endpoint.key)
         outgoing = headers.Outgoing(
             endpoint=endpoint,
@@ -125,7 +125,7 @@
         on_close = functools.partial(self._gate.ended, exchange, endpoint, attempt)
         on_event = functools.partial(self._gate.wrote, exchange, endpoint, attempt)
         try:
-            answer = self._sender.send(outgoing_request, attempt, exchange.token)
+            response = self._sender.send(outgoing_request, attempt, exchange.token)
         except BaseException as failure:
             if isinstance(failure, departures.HeldBackError):
                 exchange.attempts.discard(attempt)
@@ -134,19 +134,19 @@
             on_close()
             raise
         self._reach.answered(endpoint)
-        if answer.is_success:
+        if response.is_success:
             self._gate.answered(endpoint)
-        self._notices.take(exchange, endpoint, answer)
+        self._notices.take(exchange, endpoint, response)
         return OpenAttempt(
-            endpoint, attempt, answer, self._counts, on_close, on_event, placed.reading_tokens
+            endpoint, attempt, response, self._counts, on_close, on_event, placed.reading_tokens
         )
 
     def _outgoing_request(
         self, exchange: base.Exchange, outgoing: headers.Outgoing, placed: place.Placed
-    ) -> sender.Order:
+    ) -> sender.OutgoingRequest:
         repeat = exchange.repeat.repeat if exchange.repeat else None
-        send_callback = self._pre_send_check.before(exchange, placed, repeat)
-        return sender.Order(
+        send_callback = self._pre_send_check.send_callback(exchange, placed, repeat)
+        return sender.OutgoingRequest(
             endpoint=outgoing.endpoint,
             method=exchange.request.method,
             target=exchange.request.target,
--- a/src/croftpulley/forwarding/base.py
+++ b/src/croftpulley/forwarding/base.py
@@ -98,21 +98,21 @@
         """The pool that serves the request; raises `RuntimeError` before its route is known."""
         if self.origin is not None:
             return self.origin.pool
-        return tables.pool_for(self.known_route, self.stream.request_id)
+        return tables.pool_for(self.known_route, self.stream_id.request_id)
 
     @property
-    def takes_up(self) -> bool:
+    def resumes_stream(self) -> bool:
         """Tell whether it resumes a stream that an earlier request began."""
         return self.known_route.is_resumable_stream and bool(self.facts.last_event_id)
 
     @property
-    def stream(self) -> origins.StreamId:
+    def stream_id(self) -> origins.StreamId:
         """The stream that it begins or resumes."""
-        resumes = self.facts.resumes if self.takes_up else ""
+        resumes = self.facts.resumes if self.resumes_stream else ""
         return origins.StreamId(self.workspace_name, resumes or self.facts.request_id)
 
     @property
-    def version(self) -> str | None:
+    def required_version(self) -> str | None:
         """The software version that endpoints must have, ``None`` for any."""
         return self.origin.version if self.origin is not None else None
 
--- a/src/croftpulley/forwarding/by_peer.py
+++ b/src/croftpulley/forwarding/by_peer.py
@@ -8,13 +8,13 @@
 from croftpulley.forwarding import base, hops
 
 
-class ByPeer(base.ForwardFilter):
+class ForwardToPeer(base.ForwardFilter):
     """Forwards a request to another box if this one reaches no endpoint of its pool.
 
     A request that another box forwarded to this one is refused instead.
     """
 
-    def __init__(self, pool_reach: reach.Reach, forwarder: hops.Hops) -> None:
+    def __init__(self, pool_reach: reach.Reach, forwarder: hops.HopForwarder) -> None:
         self._reach = pool_reach
         self._forwarder = forwarder
 
--- a/src/croftpulley/forwarding/chain.py
+++ b/src/croftpulley/forwarding/chain.py
@@ -17,7 +17,7 @@
     find_route: rules.FindRoute
     limit_time: rules.LimitTime
     take_up: take_up.TakeUp
-    by_peer: by_peer.ByPeer
+    by_peer: by_peer.ForwardToPeer
     take_permit: admission.TakePermit
     relay: relay.Relay
 
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -23,19 +23,19 @@
 class HeldBackError(errors.CroftpulleyError):
     """Nothing was sent, since the endpoint may no longer be sent requests."""
 
-    def __init__(self, placed: place.Placed, bar: service.Bar) -> None:
-        super().__init__(codes.ResultCode.DECLINED, f"{placed.endpoint.key}: {bar.value}")
-        self.bar = bar
+    def __init__(self, placed: place.Placed, reason: service.BlockReason) -> None:
+        super().__init__(codes.ResultCode.DECLINED, f"{placed.endpoint.key}: {reason.value}")
+        self.reason = reason
 
 
-class LastLook:
+class PreSendCheck:
     """Checks whether an endpoint may still be sent a request that was placed there."""
 
     def __init__(
         self,
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
-        pool_members: service.Service,
+        pool_members: service.MemberCache,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
@@ -45,7 +45,7 @@
         self._counters = counters
         self._clock = clock
 
-    def before(
+    def send_callback(
         self, exchange: base.Exchange, placed: place.Placed, repeat: retry_budget.Repeat | None
     ) -> Callable[[], None]:
         """Return a callback for just before the first byte is sent and again after the last.
@@ -82,24 +82,26 @@
         )
         raise HeldBackError(placed, reason)
 
-    def _block_reason(self, exchange: base.Exchange, placed: place.Placed) -> service.Bar | None:
+    def _block_reason(
+        self, exchange: base.Exchange, placed: place.Placed
+    ) -> service.BlockReason | None:
         state = self._view.get()
         endpoint = placed.endpoint
         members = self._pool_members.members(
-            state, exchange.pool, exchange.home_regions, exchange.version
+            state, exchange.pool, exchange.home_regions, exchange.required_version
         )
         listed = members.in_service.get(endpoint.key)
         if listed is None:
-            return service.bar_by_list(members, state, endpoint.key)
+            return service.block_reason_by_list(members, state, endpoint.key)
         if listed.version != endpoint.version:
             # The response would be recorded under a version that did not produce it.
-            return service.Bar.OTHER_VERSION
+            return service.BlockReason.OTHER_VERSION
         now_s = self._clock.monotonic_s()
         if self._counts.is_withdrawn(endpoint.key):
-            return service.Bar.WITHDRAWN
+            return service.BlockReason.WITHDRAWN
         if not state.may_be_cold:
             return None
         cold_quota_per_s = state.cold_a_second(endpoint, now_s)
         if cold_quota_per_s is None or (cold_quota_per_s and placed.departure is not None):
             return None
-        return service.Bar.COLD
+        return service.BlockReason.COLD
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -51,12 +51,12 @@
                         yield complete_events
                     self._counts.answered(current.endpoint.key)
                     if exchange.origin is not None:
-                        self._origins.ended_whole(exchange.stream)
+                        self._origins.ended_whole(exchange.stream_id)
                     return
                 except errors.CroftpulleyError as failure:
                     if not has_begun:
                         raise
-                    self._failover.broke_off(exchange, current, failure)
+                    self._failover.close_failed(exchange, current, failure)
                     if not splitter.last_id:
                         # Events without ids: there is no position to resume from.
                         raise
@@ -74,7 +74,7 @@
             return
         origin = exchange.origin or origins.Origin(exchange.pool, current.endpoint.version)
         retention_s = route.time_limit_ms / 1000 + origins.RETENTION_S
-        announcement = origins.OriginAnnouncement(exchange.stream, origin, retention_s)
+        announcement = origins.OriginAnnouncement(exchange.stream_id, origin, retention_s)
         self._origins.begun(announcement, always_told=route.is_split)
         exchange.origin = origin
 
@@ -83,7 +83,7 @@
     splitter: event_splitter.EventSplitter, current: attempt.OpenAttempt
 ) -> Iterator[bytes]:
     """Yield complete events; raises `errors.CroftpulleyError` if the response ends within one."""
-    for chunk in current.answer.chunks():
+    for chunk in current.response.chunks():
         complete_events = splitter.feed(chunk)
         if complete_events:
             yield complete_events
@@ -104,6 +104,6 @@
         request_id=exchange.facts.request_id,
         endpoint=current.endpoint.key,
         version=current.endpoint.version,
-        begun_version=exchange.version,
+        begun_version=exchange.required_version,
         after_event=after_event,
     )
--- a/src/croftpulley/forwarding/failover.py
+++ b/src/croftpulley/forwarding/failover.py
@@ -23,7 +23,7 @@
     def __init__(
         self,
         placement: place.Placement,
-        opener: attempt.Opener,
+        opener: attempt.AttemptOpener,
         response_judge: judge.Judge,
         repeats: retry.Retry,
         gate: suspects.Gate,
@@ -54,7 +54,7 @@
             if self._accept_response(exchange, current, tried, resumes=bool(resume_after)):
                 return current
 
-    def broke_off(
+    def close_failed(
         self,
         exchange: base.Exchange,
         current: attempt.OpenAttempt,
@@ -87,7 +87,7 @@
             self._gate.admit(exchange)
             placed = self._placement.choose(exchange, tried)
         except errors.CroftpulleyError as failure:
-            raise failures.final(exchange, failure) from failure
+            raise failures.error_for_caller(exchange, failure) from failure
         tried.add(placed.endpoint.key)
         return placed
 
@@ -103,11 +103,11 @@
 
         Raises `errors.CroftpulleyError` if it does not and no other endpoint may be tried.
         """
-        verdict = self._judge.verdict(exchange, current.answer)
+        verdict = self._judge.verdict(exchange, current.response)
         failed = verdict is verdicts.Verdict.FAILED
         if failed:
             self._counts.erred(current.endpoint.key)
-        if verdict is verdicts.Verdict.PASS_ON and (not resumes or current.answer.is_success):
+        if verdict is verdicts.Verdict.PASS_ON and (not resumes or current.response.is_success):
             return True
         refusal = self._judge.refusal(current, verdict)
         goes_on = self._retry.may_go_on(exchange, refusal, tried)
--- a/src/croftpulley/forwarding/failures.py
+++ b/src/croftpulley/forwarding/failures.py
@@ -15,7 +15,9 @@
 _ATTEMPT_FAILURES = (codes.ResultCode.WORKER_UNREACHABLE, codes.ResultCode.WORKER_BROKE)
 
 
-def final(exchange: base.Exchange, failure: errors.CroftpulleyError) -> errors.CroftpulleyError:
+def error_for_caller(
+    exchange: base.Exchange, failure: errors.CroftpulleyError
+) -> errors.CroftpulleyError:
     """Return the error for the caller: its run state covers all attempts, not just the last one.
 
     A 503 is returned only if no attempt can have run. The code of ``failure`` is replaced if the
--- a/src/croftpulley/forwarding/headers.py
+++ b/src/croftpulley/forwarding/headers.py
@@ -12,7 +12,7 @@
 _LOWEST_URGENCY = 9
 
 
-def facts(headers: Mapping[str, str], names: vocabulary.Vocabulary) -> calls.CallFacts:
+def parse_call_facts(headers: Mapping[str, str], names: vocabulary.Vocabulary) -> calls.CallFacts:
     """Parse what the fleet must know of a request from its headers."""
     return calls.CallFacts(
         request_id=headers.get(names.request_id, ""),
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -21,13 +21,13 @@
 from croftpulley.settings import fleet
 
 _LOG = logging.getLogger(__name__)
-BOX = "x-hop-box"
+BOX_HEADER = "x-hop-box"
 """The header with the name of the box that forwards a request."""
-VERSION = "x-hop-configuration"
+CONFIGURATION_HEADER = "x-hop-configuration"
 """The header with the configuration version by which that box handled the request."""
-REFUSED = "x-hop-refused"
+REFUSED_HEADER = "x-hop-refused"
 """The header of a response to a hop: nothing ran, and another box should be tried."""
-ELSEWHERE = frozenset(
+BOX_REFUSALS = frozenset(
     {
         codes.ResultCode.TOO_MANY_STREAMS,
         codes.ResultCode.DRAINING,
@@ -38,10 +38,10 @@
     }
 )
 """Refusals that only concern the box itself: other boxes may accept the request."""
-HEADERS_ADDED = 3
+MAX_HEADERS_ADDED = 3
 """The most headers that a hop adds: the two request headers above, and the remaining time if the
 caller gave none."""
-HEADER_BYTES = 160
+MAX_ADDED_HEADER_SIZE_BYTES = 160
 """The size allowed for each of them on top of the limit for callers; a box name has at most 100
 characters."""
 MAX_BOXES_TRIED = 3
@@ -52,22 +52,22 @@
 """How long another box, probed every second, may acknowledge nothing before it counts as lost."""
 
 
-def read(header_values: Mapping[str, str]) -> base.Hop:
+def parse_hop(header_values: Mapping[str, str]) -> base.Hop:
     """Parse the headers of a hop; ``given`` has names in lower case. Invalid versions read as 0."""
-    version = header_values.get(VERSION, "")
+    version = header_values.get(CONFIGURATION_HEADER, "")
     return base.Hop(
-        box=header_values.get(BOX, "")[:100],
+        box=header_values.get(BOX_HEADER, "")[:100],
         configuration_version=int(version) if version.isdecimal() and len(version) < 16 else 0,
     )
 
 
-def is_for_others(exchange: base.Exchange, failure: errors.CroftpulleyError) -> bool:
+def may_retry_elsewhere(exchange: base.Exchange, failure: errors.CroftpulleyError) -> bool:
     """Tell whether another box may accept a forwarded request that this box has refused."""
     is_not_run = exchange.attempts.run_state is codes.RunState.NOT_RUN
-    return is_not_run and failure.code in ELSEWHERE
+    return is_not_run and failure.code in BOX_REFUSALS
 
 
-class Hops:
+class HopForwarder:
     """Forwards requests to other boxes."""
 
     def __init__(
@@ -97,10 +97,10 @@
         Raises `errors.CroftpulleyError`: OUT_OF_REACH, with nothing run, if no box accepts it.
         """
         for peer in self._choose_boxes(exchange):
-            answer = self._forward_to(exchange, peer)
-            if answer is not None:
+            response = self._forward_to(exchange, peer)
+            if response is not None:
                 self._record_success(exchange, peer)
-                return self._to_reply(exchange, answer)
+                return self._to_reply(exchange, response)
         # Every box that was tried ran nothing.
         raise errors.CroftpulleyError(
             codes.ResultCode.OUT_OF_REACH,
@@ -120,7 +120,7 @@
         now_s = self._clock.monotonic_s()
         return self._peers.preferred(exchange.facts.request_id, reaching, now_s)[:MAX_BOXES_TRIED]
 
-    def _forward_to(self, exchange: base.Exchange, peer: membership.Box) -> sender.Answer | None:
+    def _forward_to(self, exchange: base.Exchange, peer: membership.Box) -> sender.Response | None:
         """Return a box's response, ``None`` if it ran nothing and another may be tried.
 
         Raises `errors.CroftpulleyError` if the box may have sent the request to an endpoint, or if
@@ -128,22 +128,22 @@
         """
         exchange.token.check()
         left_s = exchange.deadline_s - self._clock.monotonic_s()
-        if left_s < attempt.LEAST_BUDGET_S:
+        if left_s < attempt.MIN_BUDGET_S:
             raise errors.CroftpulleyError(codes.ResultCode.DEADLINE_PASSED)
         hop_attempt = exchange.attempts.begin(peer.name)
         try:
-            answer = self._send(exchange, peer, hop_attempt, left_s)
+            response = self._send(exchange, peer, hop_attempt, left_s)
         except errors.CroftpulleyError as failure:
             self._record_failure(exchange, peer, failure)
             if hop_attempt.run_state is not codes.RunState.NOT_RUN:
                 raise
             exchange.attempts.discard(hop_attempt)
             return None
-        if not answer.header(REFUSED):
-            return answer
-        answer.close()
+        if not response.header(REFUSED_HEADER):
+            return response
+        response.close()
         exchange.attempts.discard(hop_attempt)
-        detail = f"{peer.name}: {answer.header(REFUSED)}"
+        detail = f"{peer.name}: {response.header(REFUSED_HEADER)}"
         self._record_failure(
             exchange, peer, errors.CroftpulleyError(codes.ResultCode.DECLINED, detail)
         )
@@ -155,7 +155,7 @@
         peer: membership.Box,
         hop_attempt: attempts.Attempt,
         left_s: float,
-    ) -> sender.Answer:
+    ) -> sender.Response:
         request = exchange.request
         target = connection.Target(
             peer.peer_address,
@@ -172,30 +172,30 @@
             None,
             self._headers(exchange, left_s),
         )
-        return sender.begin(link, outgoing, hop_attempt)
+        return sender.send_request(link, outgoing, hop_attempt)
 
     def _headers(self, exchange: base.Exchange, left_s: float) -> dict[str, str]:
         """Return the caller's headers, with the remaining time and the headers of a hop."""
         caller_headers = headers.end_to_end_headers(exchange.request)
         version = exchange.state.configuration.version
-        hop_headers = {BOX: self._box, VERSION: str(version)}
+        hop_headers = {BOX_HEADER: self._box, CONFIGURATION_HEADER: str(version)}
         return {
             **caller_headers,
             self._names.budget_ms: str(max(1, int(left_s * 1000))),
             **hop_headers,
         }
 
-    def _to_reply(self, exchange: base.Exchange, answer: sender.Answer) -> base.ForwardReply:
-        reply_headers = headers.to_caller(answer.headers)
+    def _to_reply(self, exchange: base.Exchange, response: sender.Response) -> base.ForwardReply:
+        reply_headers = headers.to_caller(response.headers)
         is_stream = exchange.known_route.kind is fleet.RouteKind.STREAM
-        if is_stream and answer.is_success:
-            exchange.at_end.callback(answer.close)
-            return base.ForwardReply(answer.status, reply_headers, _chunks(answer))
+        if is_stream and response.is_success:
+            exchange.at_end.callback(response.close)
+            return base.ForwardReply(response.status, reply_headers, _chunks(response))
         try:
-            body = sender.read_whole(answer, sender.WHOLE_ANSWER_BYTES)
+            body = sender.read_body(response, sender.MAX_BUFFERED_RESPONSE_BYTES)
         finally:
-            answer.close()
-        return base.ForwardReply(answer.status, reply_headers, body)
+            response.close()
+        return base.ForwardReply(response.status, reply_headers, body)
 
     def _record_success(self, exchange: base.Exchange, peer: membership.Box) -> None:
         self._counters.hop(exchange.pool, "answered")
@@ -227,8 +227,8 @@
         )
 
 
-def _chunks(answer: sender.Answer) -> Iterator[bytes]:
+def _chunks(response: sender.Response) -> Iterator[bytes]:
     try:
-        yield from answer.chunks()
+        yield from response.chunks()
     finally:
-        answer.close()
+        response.close()
--- a/src/croftpulley/forwarding/judge.py
+++ b/src/croftpulley/forwarding/judge.py
@@ -21,7 +21,7 @@
         self._view = view
         self._names = names
 
-    def verdict(self, exchange: base.Exchange, answer: sender.Answer) -> verdicts.Verdict:
+    def verdict(self, exchange: base.Exchange, answer: sender.Response) -> verdicts.Verdict:
         """Return whether a response can be passed on to the caller, or why not."""
         names = self._names
         return verdicts.classify_response(
@@ -43,7 +43,7 @@
         self, current: attempt.OpenAttempt, verdict: verdicts.Verdict
     ) -> errors.CroftpulleyError:
         """Record an unsuccessful response against its endpoint; return the error for the caller."""
-        status = current.answer.status
+        status = current.response.status
         where = f"{current.endpoint.address}: status {status}"
         if verdict is verdicts.Verdict.NOT_RUN:
             # The headers settle that the request was not run, whatever the body says.
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -37,7 +37,7 @@
         self._clock = clock
 
     def take(
-        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
+        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Response
     ) -> None:
         """Apply what the headers of a response announce about its endpoint."""
         if answer.status not in verdicts.NOT_RUN_STATUSES:
@@ -58,7 +58,7 @@
         _log_news(exchange, endpoint, notice, news)
 
     def _apply_load_report(
-        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
+        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Response
     ) -> None:
         text = answer.header(self._names.load)
         # With 421 the address now belongs to another endpoint: the header is about that one.
@@ -80,7 +80,7 @@
         )
 
     def _apply_brittle_limit(
-        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Answer
+        self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Response
     ) -> None:
         if answer.status == verdicts.MISDIRECTED:
             return
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -38,7 +38,7 @@
         hall: str,
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
-        pools: service.Service,
+        pools: service.MemberCache,
         spill: selection.OverloadLimit,
         rates: selection.CostRates,
         programs: steer.Steering,
@@ -88,7 +88,7 @@
         """Return the endpoints in service for a request, including those asked already."""
         state = state or self._view.get()
         members = self._service.members(
-            state, exchange.pool, exchange.home_regions, exchange.version
+            state, exchange.pool, exchange.home_regions, exchange.required_version
         )
         held_tokens = self._held_tokens(exchange, members)
         return service.Survey(
@@ -96,7 +96,7 @@
             members=members,
             held_tokens=held_tokens,
             candidates=self._counts.candidates(members.in_service, state, held_tokens),
-            most_load=self._max_load(exchange, state),
+            max_load=self._max_load(exchange, state),
             now_s=self._clock.monotonic_s(),
             is_brittle=self._counts.most_turned_away(exchange.pool) is not None,
         )
--- a/src/croftpulley/forwarding/refusals.py
+++ b/src/croftpulley/forwarding/refusals.py
@@ -22,7 +22,7 @@
     if untried and full_count == len(untried):
         # Endpoints whose load is limited after a rest soon have capacity again. Where all are at
         # the maximum load that is not so: no retry time is set.
-        is_soon = any(each.load < survey.most_load for each in untried)
+        is_soon = any(each.load < survey.max_load for each in untried)
         return errors.CroftpulleyError(
             codes.ResultCode.NO_CAPACITY,
             f"pool {pool!r}: {full_count} endpoints have all the requests that they should have",
@@ -32,8 +32,8 @@
         return errors.CroftpulleyError(
             codes.ResultCode.ENDPOINTS_COLD, f"pool {pool!r}: {len(untried) - full_count} cold"
         )
-    if not_withdrawn or survey.opens_in_s == float("inf"):
-        return service.no_engine(survey.state, pool, survey.members, exchange.home_regions)
+    if not_withdrawn or survey.available_in_s == float("inf"):
+        return service.no_engine_error(survey.state, pool, survey.members, exchange.home_regions)
     return errors.CroftpulleyError(
         codes.ResultCode.ENDPOINTS_RESTING,
         f"pool {pool!r}: {len(survey.candidates)} endpoints want no requests from this box",
@@ -50,9 +50,9 @@
     """
     if not any(survey.is_withdrawn(each) for each in survey.candidates):
         return error
-    if survey.opens_in_s == float("inf"):
+    if survey.available_in_s == float("inf"):
         return error
-    code = codes.ResultCode.ENDPOINTS_RESTING if survey.opens_in_s else error.code
+    code = codes.ResultCode.ENDPOINTS_RESTING if survey.available_in_s else error.code
     return errors.CroftpulleyError(
         code,
         error.detail,
@@ -69,4 +69,4 @@
     tie_breaker = retry_times.hash_fraction(exchange.facts.request_id)
     position = retry_times.queue_position(headers.urgency(exchange), tie_breaker)
     left_s = exchange.deadline_s - survey.now_s
-    return retry_times.wait_s(survey.opens_in_s, left_s, retry_times.JITTER_SHARE, position)
+    return retry_times.wait_s(survey.available_in_s, left_s, retry_times.JITTER_SHARE, position)
--- a/src/croftpulley/forwarding/relay.py
+++ b/src/croftpulley/forwarding/relay.py
@@ -36,7 +36,7 @@
         request_sender: sender.Sender,
         counts: traffic.Traffic,
         gate: suspects.Gate,
-        last_look: departures.LastLook,
+        last_look: departures.PreSendCheck,
         known: reach.Reach,
         known_origins: stream_origins.StreamOrigins,
         view: actors.View[router_state.RouterState],
@@ -45,7 +45,7 @@
         clock: clocks.Clock,
     ) -> None:
         notice_reader = notices.Notices(counts, names, counters, clock)
-        opener = attempt.Opener(
+        opener = attempt.AttemptOpener(
             request_sender, counts, gate, notice_reader, last_look, known, names, clock
         )
         response_judge = judge.Judge(counts, view, names)
@@ -65,7 +65,7 @@
             try:
                 return self._reply(exchange, current, tried)
             except errors.CroftpulleyError as failure:
-                self._failover.broke_off(exchange, current, failure)
+                self._failover.close_failed(exchange, current, failure)
                 self._retry.go_on_or_raise(exchange, failure, tried)
             except BaseException:
                 current.close()
@@ -75,15 +75,15 @@
         self, exchange: base.Exchange, current: attempt.OpenAttempt, tried: set[str]
     ) -> base.ForwardReply:
         is_stream = exchange.known_route.kind is fleet.RouteKind.STREAM
-        if is_stream and current.answer.is_success:
+        if is_stream and current.response.is_success:
             return self._stream_reply(exchange, current, tried)
         return self._complete_reply(current)
 
     def _complete_reply(self, current: attempt.OpenAttempt) -> base.ForwardReply:
         """Read the complete response and close the attempt."""
-        answer = current.answer
+        answer = current.response
         reply_headers = headers.to_caller(answer.headers)
-        body = sender.read_whole(answer, sender.WHOLE_ANSWER_BYTES)
+        body = sender.read_body(answer, sender.MAX_BUFFERED_RESPONSE_BYTES)
         current.close()
         if answer.status < verdicts.FIRST_SERVER_ERROR:
             self._counts.answered(current.endpoint.key)
@@ -93,7 +93,7 @@
         self, exchange: base.Exchange, current: attempt.OpenAttempt, tried: set[str]
     ) -> base.ForwardReply:
         """Return a reply that streams the events, once the first one has arrived."""
-        answer = current.answer
+        answer = current.response
         reply_headers = headers.to_caller(answer.headers)
         events_left = self._stream.events(exchange, current, tried)
         exchange.at_end.callback(events_left.close)  # type: ignore[attr-defined]
--- a/src/croftpulley/forwarding/retry.py
+++ b/src/croftpulley/forwarding/retry.py
@@ -49,7 +49,7 @@
             return False
         if failure.run_state is not codes.RunState.NOT_RUN and not exchange.known_route.may_repeat:
             return False
-        if self._clock.monotonic_s() + attempt.LEAST_BUDGET_S >= exchange.deadline_s:
+        if self._clock.monotonic_s() + attempt.MIN_BUDGET_S >= exchange.deadline_s:
             return False
         if not self._placement.has_untried(exchange, tried):
             return False
@@ -84,7 +84,7 @@
         self, exchange: base.Exchange, failure: errors.CroftpulleyError
     ) -> errors.CroftpulleyError:
         """Return the error for the caller after all attempts, with the time to retry."""
-        error = failures.final(exchange, failure)
+        error = failures.error_for_caller(exchange, failure)
         if error.code is not codes.ResultCode.DECLINED:
             return error
         return refusals.declined_error(exchange, self._placement.survey(exchange), error)
--- a/src/croftpulley/forwarding/sender.py
+++ b/src/croftpulley/forwarding/sender.py
@@ -13,12 +13,12 @@
 from croftpulley.forwarding import base
 
 _READ_SIZE_BYTES = 65_536
-WHOLE_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_BUFFERED_RESPONSE_BYTES = 16 * 1024 * 1024
 """The largest response that is read completely before the caller gets its first byte."""
 
 
 @attrs.frozen(kw_only=True)
-class Order:
+class OutgoingRequest:
     """One attempt as it is sent.
 
     With an ``arrival_limit_s`` the connection is closed if the endpoint does not receive the
@@ -35,7 +35,7 @@
     on_leaving: Callable[[], None] = connection.do_nothing
 
 
-class Answer(abc.ABC):
+class Response(abc.ABC):
     """A response whose head has been read."""
 
     status: int
@@ -67,7 +67,9 @@
     """Sends attempts from this box to endpoints."""
 
     @abc.abstractmethod
-    def send(self, order: Order, attempt: attempts.Attempt, token: cancel.CancelToken) -> Answer:
+    def send(
+        self, request: OutgoingRequest, attempt: attempts.Attempt, token: cancel.CancelToken
+    ) -> Response:
         """Send an attempt and return its response once the head is there.
 
         Updates the phase of ``attempt``. Raises `errors.CroftpulleyError`.
@@ -89,31 +91,33 @@
         self._silence_timeout_s = silence_timeout_s
         self._dialer_for = dialer_for
 
-    def send(self, order: Order, attempt: attempts.Attempt, token: cancel.CancelToken) -> Answer:
+    def send(
+        self, request: OutgoingRequest, attempt: attempts.Attempt, token: cancel.CancelToken
+    ) -> Response:
         """Send an attempt and return its response; see `Sender.send`."""
         target = connection.Target(
-            order.endpoint.address,
+            request.endpoint.address,
             self._connect_timeout_s,
             self._silence_timeout_s,
-            order.arrival_limit_s,
+            request.arrival_limit_s,
         )
         exchange = connection.Exchange(
-            target, attempt, token, connection.WORKER_FAILURES, self._dialer_for(order.endpoint)
+            target, attempt, token, connection.WORKER_FAILURES, self._dialer_for(request.endpoint)
         )
-        request = connection.HttpRequest(
-            order.method,
-            order.target,
-            order.body or None,
+        http_request = connection.HttpRequest(
+            request.method,
+            request.target,
+            request.body or None,
             None,
-            order.headers,
-            on_leaving=order.on_leaving,
+            request.headers,
+            on_leaving=request.on_leaving,
         )
-        return begin(exchange, request, attempt)
+        return send_request(exchange, http_request, attempt)
 
 
-def begin(
+def send_request(
     exchange: connection.Exchange, request: connection.HttpRequest, attempt: attempts.Attempt
-) -> Answer:
+) -> Response:
     """Send a request and return its response once the head is there.
 
     Raises `errors.CroftpulleyError`.
@@ -123,10 +127,10 @@
     except BaseException:
         exchange.close()
         raise
-    return _DirectAnswer(exchange, attempt, response.status, tuple(response.headers.items()))
+    return _DirectResponse(exchange, attempt, response.status, tuple(response.headers.items()))
 
 
-class _DirectAnswer(Answer):
+class _DirectResponse(Response):
     def __init__(
         self,
         exchange: connection.Exchange,
@@ -149,11 +153,11 @@
         self._exchange.close()
 
 
-def read_whole(answer: Answer, size_limit_bytes: int) -> bytes:
+def read_body(response: Response, size_limit_bytes: int) -> bytes:
     """Return a response's body; raises `errors.CroftpulleyError` if it breaks off or is larger."""
     parts = []
     size_bytes = 0
-    for chunk in answer.chunks():
+    for chunk in response.chunks():
         size_bytes += len(chunk)
         if size_bytes > size_limit_bytes:
             raise errors.CroftpulleyError(
--- a/src/croftpulley/forwarding/service.py
+++ b/src/croftpulley/forwarding/service.py
@@ -16,7 +16,7 @@
 0.25 s each."""
 
 
-class Bar(enum.Enum):
+class BlockReason(enum.Enum):
     """Why an endpoint may not be sent requests now; the values are in logs and metrics."""
 
     UNLISTED = "unlisted"
@@ -44,7 +44,7 @@
     version: str | None = None
 
 
-class Service:
+class MemberCache:
     """Caches the members of all pools until the endpoint list or the evacuated halls change.
 
     Concurrent threads may compute the same entry twice, with the same result.
@@ -92,14 +92,16 @@
         return Members(by_key, in_service, version)
 
 
-def bar_by_list(members: Members, state: router_state.RouterState, key: str) -> Bar:
+def block_reason_by_list(
+    members: Members, state: router_state.RouterState, key: str
+) -> BlockReason:
     """Return why an endpoint is not in service; for those that are not in ``in_service``."""
     endpoint = members.by_key.get(key)
     if endpoint is None:
-        return Bar.UNLISTED
+        return BlockReason.UNLISTED
     if members.version not in (None, endpoint.version):
-        return Bar.OTHER_VERSION
-    return Bar.EVACUATED if endpoint.hall in state.evacuated.names else Bar.LEAVING
+        return BlockReason.OTHER_VERSION
+    return BlockReason.EVACUATED if endpoint.hall in state.evacuated.names else BlockReason.LEAVING
 
 
 @attrs.frozen(kw_only=True)
@@ -115,22 +117,22 @@
     members: Members
     held_tokens: dict[str, int]
     candidates: Sequence[selection.Candidate]
-    most_load: float
+    max_load: float
     now_s: float
     is_brittle: bool = False
 
     def is_full(self, candidate: selection.Candidate) -> bool:
         """Tell whether an endpoint has reached its maximum load for this request."""
         slots = self.members.by_key[candidate.name].slots if self.is_brittle else 0
-        most_load = min(self.most_load, slots) if slots else self.most_load
-        return candidate.is_full or candidate.load >= most_load
+        max_load = min(self.max_load, slots) if slots else self.max_load
+        return candidate.is_full or candidate.load >= max_load
 
     def is_withdrawn(self, candidate: selection.Candidate) -> bool:
         """Tell whether an endpoint announced that it takes no requests from this box now."""
         return self.now_s < candidate.withdrawn_until_s
 
     @property
-    def opens_in_s(self) -> float:
+    def available_in_s(self) -> float:
         """The time until the first endpoint takes requests again, by what endpoints announced.
 
         It is 0 if one takes requests now, and infinite if all shut down or there are none.
@@ -139,7 +141,7 @@
         return max(0.0, min(untils_s, default=float("inf")) - self.now_s)
 
 
-def no_engine(
+def no_engine_error(
     state: router_state.RouterState,
     pool: str,
     members: Members,
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -39,13 +39,13 @@
 
     def handle(self, exchange: base.Exchange, proceed: base.Proceed) -> base.ForwardReply:
         """Pass the request on; raises ORIGIN_UNKNOWN or NO_ENGINE if the stream cannot resume."""
-        if exchange.takes_up:
+        if exchange.resumes_stream:
             exchange.origin = self._origin(exchange)
         return proceed(exchange)
 
     def _origin(self, exchange: base.Exchange) -> origins.Origin | None:
         """Return the origin of the stream, ``None`` if any endpoint of its pool may resume it."""
-        found = self._known_origins.find(exchange.stream) if exchange.facts.resumes else None
+        found = self._known_origins.find(exchange.stream_id) if exchange.facts.resumes else None
         if found is None:
             if self._may_resume_anywhere(exchange):
                 self._log(exchange, "fits_anywhere", None)
--- a/src/croftpulley/http/forward_app.py
+++ b/src/croftpulley/http/forward_app.py
@@ -62,7 +62,9 @@
             caller_gone=environ.get("waitress.client_disconnected", lambda: False),
         )
         return base.Exchange(
-            request=forward, facts=headers.facts(given, self._names), state=self._view.get()
+            request=forward,
+            facts=headers.parse_call_facts(given, self._names),
+            state=self._view.get(),
         )
 
     def _refusal(self, exchange: base.Exchange, failure: errors.CroftpulleyError) -> wsgi.Response:
@@ -107,17 +109,17 @@
         given = {
             name: value
             for name, value in request.headers.items()
-            if name not in (hops.BOX, hops.VERSION)
+            if name not in (hops.BOX_HEADER, hops.CONFIGURATION_HEADER)
         }
         exchange = super()._exchange(attrs.evolve(request, headers=given))
-        exchange.hop = hops.read(request.headers)
+        exchange.hop = hops.parse_hop(request.headers)
         return exchange
 
     def _refusal(self, exchange: base.Exchange, failure: errors.CroftpulleyError) -> wsgi.Response:
         response = super()._refusal(exchange, failure)
-        if not hops.is_for_others(exchange, failure):
+        if not hops.may_retry_elsewhere(exchange, failure):
             return response
-        told = (hops.REFUSED, failure.code.name)
+        told = (hops.REFUSED_HEADER, failure.code.name)
         return attrs.evolve(response, headers=(*response.headers, told))
 
 
@@ -137,7 +139,7 @@
 
     def handle(self, request: wsgi.Request) -> wsgi.Response:
         """Answer one message, or pass a request on."""
-        if hops.BOX in request.headers:
+        if hops.BOX_HEADER in request.headers:
             return self._hop.handle(request)
         match request.path:
             case box_messages.ORIGINS_TOLD_PATH:
--- a/testing/daemons/test_cut_links.py
+++ b/testing/daemons/test_cut_links.py
@@ -121,7 +121,7 @@
 
 def hand_over(site, router, path="/cancel/x", **headers):
     """Send a request to where a router takes those of other boxes."""
-    told = {hops.BOX: "router-9", hops.VERSION: "0", **headers}
+    told = {hops.BOX_HEADER: "router-9", hops.CONFIGURATION_HEADER: "0", **headers}
     return site.ask(
         "GET",
         path,
@@ -151,14 +151,14 @@
     before = len(site.runs())
     answer = hand_over(site, site.routers[1])
     assert answer.status == 503
-    assert answer.headers[hops.REFUSED] == "OUT_OF_REACH"
+    assert answer.headers[hops.REFUSED_HEADER] == "OUT_OF_REACH"
     assert len(site.runs()) == before
 
 
 def test_a_router_with_an_older_configuration_takes_no_request(site):
-    answer = hand_over(site, site.routers[0], **{hops.VERSION: "99"})
+    answer = hand_over(site, site.routers[0], **{hops.CONFIGURATION_HEADER: "99"})
     assert answer.status == 503
-    assert answer.headers[hops.REFUSED] == "NO_CONFIGURATION"
+    assert answer.headers[hops.REFUSED_HEADER] == "NO_CONFIGURATION"
 
 
 @pytest.mark.parametrize("cut", UNSENT_CUTS)
@@ -205,7 +205,7 @@
     links[1].cut = cut_links.Cut.HANGING
     links[1].dialled.clear()
     answer = hand_over(site, site.routers[1])
-    assert answer.headers[hops.REFUSED] == "OUT_OF_REACH"
+    assert answer.headers[hops.REFUSED_HEADER] == "OUT_OF_REACH"
     assert (
         len([each for each in links[1].dialled if each in {w.address for w in site.workers}]) == 1
     )
--- a/testing/endpoints/test_connection.py
+++ b/testing/endpoints/test_connection.py
@@ -70,7 +70,7 @@
 
 
 def test_an_attempt_without_a_response_resets_the_connection(listener):
-    order = sender.Order(
+    order = sender.OutgoingRequest(
         endpoint=membership.Endpoint(
             "e", membership.EndpointKind.WORKER, "desk", address_of(listener), "hall-a", "e"
         ),
--- a/testing/forwarding/test_cold_departures.py
+++ b/testing/forwarding/test_cold_departures.py
@@ -35,7 +35,7 @@
         state=router_state.RouterState(),
         deadline_s=clock.monotonic_s(),
     )
-    opener = attempt.Opener(None, counts, None, None, None, None, vocabulary.OWN, clock)
+    opener = attempt.AttemptOpener(None, counts, None, None, None, None, vocabulary.OWN, clock)
     with pytest.raises(errors.CroftpulleyError, match="DEADLINE_PASSED"):
         opener.open(exchange, placed, "")
     clock.advance(1.2)
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -57,8 +57,8 @@
 @pytest.fixture
 def send(view, counts, clock):
     """Return a function that does what a sender does just before the first byte."""
-    pre_send_check = departures.LastLook(
-        view, counts, service.Service(halls.HallRegions({})), metrics.Metrics(), clock
+    pre_send_check = departures.PreSendCheck(
+        view, counts, service.MemberCache(halls.HallRegions({})), metrics.Metrics(), clock
     )
 
     def look(placed=PLACED, repeat=None):
@@ -66,7 +66,7 @@
         exchange = base.Exchange(
             request=request, facts=calls.CallFacts(request_id="r"), state=view.get(), route=ROUTE
         )
-        pre_send_check.before(exchange, placed, repeat)()
+        pre_send_check.send_callback(exchange, placed, repeat)()
 
     return look
 
@@ -78,7 +78,7 @@
 def block_reason(send, placed=PLACED):
     with pytest.raises(departures.HeldBackError) as caught:
         send(placed)
-    return caught.value.bar
+    return caught.value.reason
 
 
 def test_a_request_is_sent_to_an_endpoint_in_service(send):
@@ -88,22 +88,22 @@
 def test_no_request_is_sent_until_a_rest_that_began_meanwhile_is_over(send, counts, clock):
     counts.hear("e", withdrawal.Notice(rest_s=3.0))
     clock.advance(2.9)
-    assert block_reason(send) is service.Bar.WITHDRAWN
+    assert block_reason(send) is service.BlockReason.WITHDRAWN
     clock.advance(0.1)
     send()
 
 
 def test_no_request_is_sent_to_an_endpoint_that_announced_its_shutdown(send, counts):
     counts.hear("e", withdrawal.Notice(leaves=True))
-    assert block_reason(send) is service.Bar.WITHDRAWN
+    assert block_reason(send) is service.BlockReason.WITHDRAWN
 
 
 @pytest.mark.parametrize(
     ("changes", "bar"),
     [
-        ({"endpoints": (attrs.evolve(ENDPOINT, leaving=True),)}, service.Bar.LEAVING),
-        ({"endpoints": ()}, service.Bar.UNLISTED),
-        ({"evacuated": halls.EvacuatedHalls(1, ("h",))}, service.Bar.EVACUATED),
+        ({"endpoints": (attrs.evolve(ENDPOINT, leaving=True),)}, service.BlockReason.LEAVING),
+        ({"endpoints": ()}, service.BlockReason.UNLISTED),
+        ({"evacuated": halls.EvacuatedHalls(1, ("h",))}, service.BlockReason.EVACUATED),
     ],
 )
 def test_no_request_is_sent_after_a_change_of_the_list_or_an_evacuation(send, view, changes, bar):
@@ -115,7 +115,7 @@
     send, view, counts, clock
 ):
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
-    assert block_reason(send) is service.Bar.COLD
+    assert block_reason(send) is service.BlockReason.COLD
     send(attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S)))
 
 
@@ -125,7 +125,7 @@
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
     clock.advance(send_quotas.QUOTA_TTL_S)
-    assert block_reason(send, placed) is service.Bar.COLD
+    assert block_reason(send, placed) is service.BlockReason.COLD
 
 
 def test_a_repeat_that_is_held_back_does_not_count_as_sent(send, counts, clock):
