--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -295,10 +295,12 @@
         )
         return chain.Steps(
             observe=observe.Observe(self._counters, self._clock),
-            limit_unread=rules.LimitUnread(self._unread_bytes, settings.http.unread_total_bytes),
+            limit_unread=rules.LimitUnreadBytes(
+                self._unread_bytes, settings.http.unread_total_bytes
+            ),
             find_route=rules.FindRoute(self._closed, self._clock),
             limit_time=rules.LimitTime(self._streams),
-            take_up=take_up.TakeUp(self._origins, self._view, self._counters, self._clock),
+            take_up=take_up.ResumeStream(self._origins, self._view, self._counters, self._clock),
             by_peer=by_peer.ForwardToPeer(self._reach, self._make_hops()),
             take_permit=admission.TakePermit(
                 self._permits, self._traffic, self._counters, self._clock
@@ -336,12 +338,12 @@
             self._clock,
         )
 
-    def _make_gate(self) -> suspects.Gate:
+    def _make_gate(self) -> suspects.SuspectGate:
         settings = self._settings
         asking = suspicion_reports.Trials(
             self._suspicion, self._view, settings.renew_timeout_s, self._counters
         )
-        return suspects.Gate(
+        return suspects.SuspectGate(
             self._suspicion,
             asking,
             settings.connect_timeout_s,
--- a/src/croftpulley/fakes/forwarded.py
+++ b/src/croftpulley/fakes/forwarded.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         settings: schema.FakeSettings,
-        names: vocabulary.Vocabulary = vocabulary.OWN,
+        names: vocabulary.HeaderNames = vocabulary.FLEET_HEADER_NAMES,
         incarnation: str = "",
     ) -> None:
         super().__init__(settings.address)
@@ -283,7 +283,7 @@
         await connection.send(b"0\r\n\r\n")
 
 
-def parts_of(request: stub.StubRequest, names: vocabulary.Vocabulary) -> tuple[str, ...]:
+def parts_of(request: stub.StubRequest, names: vocabulary.HeaderNames) -> tuple[str, ...]:
     """Return the parts that a request names of its prompt."""
     prompt = calls.parse_prompt(request.headers.get(names.prompt_parts, ""))
     return tuple(each.part_id for each in prompt)
--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -27,12 +27,12 @@
 
     def __init__(
         self,
-        held: permits.Permits,
+        box_permits: permits.Permits,
         counts: traffic.Traffic,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        self._permits = held
+        self._permits = box_permits
         self._counts = counts
         self._counters = counters
         self._clock = clock
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -72,11 +72,11 @@
         self,
         attempt_sender: sender.Sender,
         counts: traffic.Traffic,
-        gate: suspects.Gate,
-        endpoint_notices: notices.Notices,
+        gate: suspects.SuspectGate,
+        endpoint_notices: notices.NoticeReader,
         pre_send_check: departures.PreSendCheck,
         pool_reach: reach.Reach,
-        header_names: vocabulary.Vocabulary,
+        header_names: vocabulary.HeaderNames,
         clock: clocks.Clock,
     ) -> None:
         self._sender = attempt_sender
@@ -89,7 +89,7 @@
         self._clock = clock
 
     def open(
-        self, exchange: base.Exchange, placed: place.Placed, last_event_id: str
+        self, exchange: base.Exchange, placed: place.PlacementDecision, last_event_id: str
     ) -> OpenAttempt:
         """Send the request to an endpoint and return once the head of its response is there.
 
@@ -98,13 +98,13 @@
         try:
             return self._open(exchange, placed, last_event_id)
         except BaseException:
-            if placed.departure is not None:
+            if placed.send_record is not None:
                 # Nothing more is sent, so the time of sending is at most now.
-                self._counts.cold_leaves(placed.departure)
+                self._counts.cold_leaves(placed.send_record)
             raise
 
     def _open(
-        self, exchange: base.Exchange, placed: place.Placed, last_event_id: str
+        self, exchange: base.Exchange, placed: place.PlacementDecision, last_event_id: str
     ) -> OpenAttempt:
         endpoint = placed.endpoint
         budget_s = exchange.deadline_s - self._clock.monotonic_s()
@@ -121,9 +121,9 @@
         outgoing_request = self._outgoing_request(exchange, outgoing, placed)
         self._counts.enter(endpoint.key)
         self._counts.begin_reading(exchange.facts, endpoint.key, placed.reading_tokens)
-        self._gate.began(exchange, endpoint, attempt)
-        on_close = functools.partial(self._gate.ended, exchange, endpoint, attempt)
-        on_event = functools.partial(self._gate.wrote, exchange, endpoint, attempt)
+        self._gate.attempt_started(exchange, endpoint, attempt)
+        on_close = functools.partial(self._gate.attempt_ended, exchange, endpoint, attempt)
+        on_event = functools.partial(self._gate.event_received, exchange, endpoint, attempt)
         try:
             response = self._sender.send(outgoing_request, attempt, exchange.token)
         except BaseException as failure:
@@ -135,14 +135,14 @@
             raise
         self._reach.answered(endpoint)
         if response.is_success:
-            self._gate.answered(endpoint)
-        self._notices.take(exchange, endpoint, response)
+            self._gate.response_started(endpoint)
+        self._notices.process(exchange, endpoint, response)
         return OpenAttempt(
             endpoint, attempt, response, self._counts, on_close, on_event, placed.reading_tokens
         )
 
     def _outgoing_request(
-        self, exchange: base.Exchange, outgoing: headers.Outgoing, placed: place.Placed
+        self, exchange: base.Exchange, outgoing: headers.Outgoing, placed: place.PlacementDecision
     ) -> sender.OutgoingRequest:
         repeat = exchange.repeat.repeat if exchange.repeat else None
         send_callback = self._pre_send_check.send_callback(exchange, placed, repeat)
--- a/src/croftpulley/forwarding/chain.py
+++ b/src/croftpulley/forwarding/chain.py
@@ -13,10 +13,10 @@
     """The steps of the chain, created by the daemon."""
 
     observe: observe.Observe
-    limit_unread: rules.LimitUnread
+    limit_unread: rules.LimitUnreadBytes
     find_route: rules.FindRoute
     limit_time: rules.LimitTime
-    take_up: take_up.TakeUp
+    take_up: take_up.ResumeStream
     by_peer: by_peer.ForwardToPeer
     take_permit: admission.TakePermit
     relay: relay.Relay
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -23,7 +23,7 @@
 class HeldBackError(errors.CroftpulleyError):
     """Nothing was sent, since the endpoint may no longer be sent requests."""
 
-    def __init__(self, placed: place.Placed, reason: service.BlockReason) -> None:
+    def __init__(self, placed: place.PlacementDecision, reason: service.BlockReason) -> None:
         super().__init__(codes.ResultCode.DECLINED, f"{placed.endpoint.key}: {reason.value}")
         self.reason = reason
 
@@ -46,7 +46,10 @@
         self._clock = clock
 
     def send_callback(
-        self, exchange: base.Exchange, placed: place.Placed, repeat: retry_budget.Repeat | None
+        self,
+        exchange: base.Exchange,
+        placed: place.PlacementDecision,
+        repeat: retry_budget.Repeat | None,
     ) -> Callable[[], None]:
         """Return a callback for just before the first byte is sent and again after the last.
 
@@ -63,12 +66,12 @@
             is_checked = True
             if repeat is not None:
                 self._counts.repeat_leaves(repeat)
-            if placed.departure is not None:
-                self._counts.cold_leaves(placed.departure)
+            if placed.send_record is not None:
+                self._counts.cold_leaves(placed.send_record)
 
         return on_leaving
 
-    def _check(self, exchange: base.Exchange, placed: place.Placed) -> None:
+    def _check(self, exchange: base.Exchange, placed: place.PlacementDecision) -> None:
         reason = self._block_reason(exchange, placed)
         if reason is None:
             return
@@ -83,7 +86,7 @@
         raise HeldBackError(placed, reason)
 
     def _block_reason(
-        self, exchange: base.Exchange, placed: place.Placed
+        self, exchange: base.Exchange, placed: place.PlacementDecision
     ) -> service.BlockReason | None:
         state = self._view.get()
         endpoint = placed.endpoint
@@ -102,6 +105,6 @@
         if not state.may_be_cold:
             return None
         cold_quota_per_s = state.cold_a_second(endpoint, now_s)
-        if cold_quota_per_s is None or (cold_quota_per_s and placed.departure is not None):
+        if cold_quota_per_s is None or (cold_quota_per_s and placed.send_record is not None):
             return None
         return service.BlockReason.COLD
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -60,7 +60,7 @@
                     if not splitter.last_id:
                         # Events without ids: there is no position to resume from.
                         raise
-                    self._retry.go_on_or_raise(exchange, failure, tried)
+                    self._retry.require_retry(exchange, failure, tried)
                 splitter.drop_partial()
                 current = self._failover.begin(exchange, tried, splitter.last_id)
                 _log_resumed(exchange, current, splitter.last_id)
--- a/src/croftpulley/forwarding/failover.py
+++ b/src/croftpulley/forwarding/failover.py
@@ -24,9 +24,9 @@
         self,
         placement: place.Placement,
         opener: attempt.AttemptOpener,
-        response_judge: judge.Judge,
+        response_judge: judge.ResponseClassifier,
         repeats: retry.Retry,
-        gate: suspects.Gate,
+        gate: suspects.SuspectGate,
         counts: traffic.Traffic,
         pool_reach: reach.Reach,
     ) -> None:
@@ -80,9 +80,9 @@
             except errors.CroftpulleyError as failure:
                 self._reach.failed(placed.endpoint)
                 failures.log_attempt(exchange, placed.endpoint, failure)
-                self._retry.go_on_or_raise(exchange, failure, tried)
+                self._retry.require_retry(exchange, failure, tried)
 
-    def _place(self, exchange: base.Exchange, tried: set[str]) -> place.Placed:
+    def _place(self, exchange: base.Exchange, tried: set[str]) -> place.PlacementDecision:
         try:
             self._gate.admit(exchange)
             placed = self._placement.choose(exchange, tried)
@@ -103,19 +103,19 @@
 
         Raises `errors.CroftpulleyError` if it does not and no other endpoint may be tried.
         """
-        verdict = self._judge.verdict(exchange, current.response)
+        verdict = self._judge.classify(exchange, current.response)
         failed = verdict is verdicts.Verdict.FAILED
         if failed:
             self._counts.erred(current.endpoint.key)
         if verdict is verdicts.Verdict.PASS_ON and (not resumes or current.response.is_success):
             return True
-        refusal = self._judge.refusal(current, verdict)
-        goes_on = self._retry.may_go_on(exchange, refusal, tried)
+        refusal = self._judge.record_failure(current, verdict)
+        goes_on = self._retry.may_retry(exchange, refusal, tried)
         if failed and not goes_on and not resumes:
             return True
         current.close()
         failures.log_attempt(exchange, current.endpoint, refusal)
         if not goes_on:
-            raise self._retry.final(exchange, refusal)
+            raise self._retry.final_error(exchange, refusal)
         failures.log_repeat(exchange, refusal)
         return False
--- a/src/croftpulley/forwarding/headers.py
+++ b/src/croftpulley/forwarding/headers.py
@@ -12,7 +12,7 @@
 _LOWEST_URGENCY = 9
 
 
-def parse_call_facts(headers: Mapping[str, str], names: vocabulary.Vocabulary) -> calls.CallFacts:
+def parse_call_facts(headers: Mapping[str, str], names: vocabulary.HeaderNames) -> calls.CallFacts:
     """Parse what the fleet must know of a request from its headers."""
     return calls.CallFacts(
         request_id=headers.get(names.request_id, ""),
@@ -36,7 +36,7 @@
 
 
 def to_endpoint(
-    exchange: base.Exchange, outgoing: Outgoing, names: vocabulary.Vocabulary
+    exchange: base.Exchange, outgoing: Outgoing, names: vocabulary.HeaderNames
 ) -> dict[str, str]:
     """Return the headers for the endpoint: the caller's own ones and those that this box sets."""
     headers = {
@@ -60,7 +60,7 @@
 def end_to_end_headers(request: base.ForwardRequest) -> dict[str, str]:
     """Return the end-to-end headers of a request, without those of the connection."""
     connection_options = _connection_options(request.headers.get("connection", ""))
-    left_out = ownership.OF_ONE_CONNECTION | connection_options
+    left_out = ownership.HOP_BY_HOP_HEADERS | connection_options
     return {name: value for name, value in request.headers.items() if name not in left_out}
 
 
@@ -78,7 +78,7 @@
     """Return the end-to-end headers of a response; those of the connection are set anew."""
     pairs = list(headers)
     connection = ",".join(value for name, value in pairs if name.lower() == "connection")
-    left_out = ownership.OF_ONE_CONNECTION | _connection_options(connection)
+    left_out = ownership.HOP_BY_HOP_HEADERS | _connection_options(connection)
     return tuple((name, value) for name, value in pairs if name.lower() not in left_out)
 
 
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -77,7 +77,7 @@
         regions: halls.HallRegions,
         view: actors.View[router_state.RouterState],
         silence_timeout_s: float,
-        names: vocabulary.Vocabulary,
+        names: vocabulary.HeaderNames,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
--- a/src/croftpulley/forwarding/judge.py
+++ b/src/croftpulley/forwarding/judge.py
@@ -8,20 +8,20 @@
 from croftpulley.forwarding import attempt, base, sender, vocabulary
 
 
-class Judge:
+class ResponseClassifier:
     """Classifies responses and records failures of the endpoints that sent them."""
 
     def __init__(
         self,
         counts: traffic.Traffic,
         view: actors.View[router_state.RouterState],
-        names: vocabulary.Vocabulary,
+        names: vocabulary.HeaderNames,
     ) -> None:
         self._counts = counts
         self._view = view
         self._names = names
 
-    def verdict(self, exchange: base.Exchange, answer: sender.Response) -> verdicts.Verdict:
+    def classify(self, exchange: base.Exchange, answer: sender.Response) -> verdicts.Verdict:
         """Return whether a response can be passed on to the caller, or why not."""
         names = self._names
         return verdicts.classify_response(
@@ -39,7 +39,7 @@
         boxes = self._view.get().registered_boxes
         self._counts.stay_away(endpoint.key, brittle.backoff_s(limit, boxes))
 
-    def refusal(
+    def record_failure(
         self, current: attempt.OpenAttempt, verdict: verdicts.Verdict
     ) -> errors.CroftpulleyError:
         """Record an unsuccessful response against its endpoint; return the error for the caller."""
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -21,13 +21,13 @@
 """Maximum number of characters of an unparsable header value in the log."""
 
 
-class Notices:
+class NoticeReader:
     """Reads the headers of every response, whatever the request and its result."""
 
     def __init__(
         self,
         counts: traffic.Traffic,
-        names: vocabulary.Vocabulary,
+        names: vocabulary.HeaderNames,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
@@ -36,7 +36,7 @@
         self._counters = counters
         self._clock = clock
 
-    def take(
+    def process(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, answer: sender.Response
     ) -> None:
         """Apply what the headers of a response announce about its endpoint."""
--- a/src/croftpulley/forwarding/ownership.py
+++ b/src/croftpulley/forwarding/ownership.py
@@ -23,7 +23,7 @@
     """Hop-by-hop: valid for one connection only, never forwarded."""
 
 
-OF_ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -43,10 +43,10 @@
 
 
 @functools.cache
-def owners(names: vocabulary.Vocabulary) -> dict[str, Owner]:
+def owners(names: vocabulary.HeaderNames) -> dict[str, Owner]:
     """Return the owner of each header that callers don't own, by its name in lower case.
 
-    >>> names = vocabulary.OWN
+    >>> names = vocabulary.FLEET_HEADER_NAMES
     >>> owners(names)["x-pin-ms"], owners(names).get("x-prompt-parts")
     (<Owner.FLEET: 'fleet'>, None)
     """
@@ -64,15 +64,15 @@
         names.resume_copy,
     )
     return {
-        **dict.fromkeys(OF_ONE_CONNECTION, Owner.CONNECTION),
+        **dict.fromkeys(HOP_BY_HOP_HEADERS, Owner.CONNECTION),
         **dict.fromkeys(fleet_headers, Owner.FLEET),
     }
 
 
-def owner(name: str, names: vocabulary.Vocabulary) -> Owner:
+def owner(name: str, names: vocabulary.HeaderNames) -> Owner:
     """Return the owner of a header; ``name`` is not case-sensitive.
 
-    >>> names = vocabulary.OWN
+    >>> names = vocabulary.FLEET_HEADER_NAMES
     >>> owner("X-Pin-Ms", names).name, owner("Accept-Language", names).name
     ('FLEET', 'CALLER')
     """
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Placed:
+class PlacementDecision:
     """The endpoint chosen for an attempt, and the prefill work that it will have.
 
     ``cache_from`` is the address of an engine from which it should fetch cached prompt parts, empty
@@ -26,7 +26,7 @@
     endpoint: membership.Endpoint
     cache_from: str = ""
     reading_tokens: int = 0
-    departure: send_quotas.SendRecord | None = None
+    send_record: send_quotas.SendRecord | None = None
     """Reserves a send to a cold endpoint within its quota; ``None`` for other endpoints."""
 
 
@@ -39,23 +39,23 @@
         view: actors.View[router_state.RouterState],
         counts: traffic.Traffic,
         pools: service.MemberCache,
-        spill: selection.OverloadLimit,
+        overload_limit: selection.OverloadLimit,
         rates: selection.CostRates,
-        programs: steer.Steering,
-        held: permits.Permits,
+        steering: steer.Steering,
+        box_permits: permits.Permits,
         clock: clocks.Clock,
     ) -> None:
-        self._steering = programs
+        self._steering = steering
         self._hall = hall
         self._view = view
         self._counts = counts
         self._service = pools
-        self._overload_limit = spill
+        self._overload_limit = overload_limit
         self._rates = rates
-        self._permits = held
+        self._permits = box_permits
         self._clock = clock
 
-    def choose(self, exchange: base.Exchange, tried: set[str]) -> Placed:
+    def choose(self, exchange: base.Exchange, tried: set[str]) -> PlacementDecision:
         """Return the endpoint for the next attempt.
 
         ``tried`` has the keys of the endpoints that were asked already. The endpoints in service
@@ -74,7 +74,7 @@
                 return placed
             send_record = self._counts.take_cold(placed.endpoint.key, quota_per_s)
             if send_record is not None:
-                return attrs.evolve(placed, departure=send_record)
+                return attrs.evolve(placed, send_record=send_record)
             # Another request has just used up the quota of this endpoint.
             excluded.add(placed.endpoint.key)
 
@@ -128,7 +128,7 @@
 
     def _choose(
         self, exchange: base.Exchange, state: router_state.RouterState, excluded: set[str]
-    ) -> Placed:
+    ) -> PlacementDecision:
         """Choose an endpoint that is not in ``excluded``; raise the refusal if there is none."""
         survey = self.survey(exchange, state)
         eligible = self._eligible(survey, excluded)
@@ -139,7 +139,7 @@
         max_held_tokens = max(survey.held_tokens.values(), default=0)
         chosen = self._choose_candidate(exchange, prompt, candidates, max_held_tokens)
         if prompt is None:
-            placed = Placed(endpoint=survey.members.by_key[chosen.name])
+            placed = PlacementDecision(endpoint=survey.members.by_key[chosen.name])
         else:
             placed = self._plan_prefill(prompt, chosen, survey.held_tokens, survey.members)
         self._log_choice(exchange, placed.endpoint, chosen, candidates, survey.now_s)
@@ -200,14 +200,14 @@
         chosen: selection.Candidate,
         held_tokens: dict[str, int],
         members: service.Members,
-    ) -> Placed:
+    ) -> PlacementDecision:
         """Return the placement with the tokens to prefill and the engine to fetch others from."""
         max_held_tokens = max(held_tokens.values(), default=0)
         if max_held_tokens - chosen.held_tokens < prompt_part_index.MIN_PART_TOKENS:
             max_held_tokens = chosen.held_tokens
         prefill = selection.prefill_work(prompt, chosen, max_held_tokens)
         holders = sorted(key for key, tokens in held_tokens.items() if tokens == max_held_tokens)
-        return Placed(
+        return PlacementDecision(
             endpoint=members.by_key[chosen.name],
             cache_from=members.by_key[holders[0]].address if prefill.tokens_to_fetch else "",
             reading_tokens=prefill.tokens_to_prefill,
--- a/src/croftpulley/forwarding/relay.py
+++ b/src/croftpulley/forwarding/relay.py
@@ -35,24 +35,24 @@
         placement: place.Placement,
         request_sender: sender.Sender,
         counts: traffic.Traffic,
-        gate: suspects.Gate,
+        gate: suspects.SuspectGate,
         last_look: departures.PreSendCheck,
         known: reach.Reach,
         known_origins: stream_origins.StreamOrigins,
         view: actors.View[router_state.RouterState],
-        names: vocabulary.Vocabulary,
+        names: vocabulary.HeaderNames,
         counters: metrics.Metrics,
         clock: clocks.Clock,
     ) -> None:
-        notice_reader = notices.Notices(counts, names, counters, clock)
+        notice_reader = notices.NoticeReader(counts, names, counters, clock)
         opener = attempt.AttemptOpener(
             request_sender, counts, gate, notice_reader, last_look, known, names, clock
         )
-        response_judge = judge.Judge(counts, view, names)
+        classifier = judge.ResponseClassifier(counts, view, names)
         self._counts = counts
         self._retry = retry.Retry(placement, counts, known, counters, clock)
         self._failover = failover.Failover(
-            placement, opener, response_judge, self._retry, gate, counts, known
+            placement, opener, classifier, self._retry, gate, counts, known
         )
         self._stream = event_stream.EventStream(self._failover, self._retry, counts, known_origins)
 
@@ -66,7 +66,7 @@
                 return self._reply(exchange, current, tried)
             except errors.CroftpulleyError as failure:
                 self._failover.close_failed(exchange, current, failure)
-                self._retry.go_on_or_raise(exchange, failure, tried)
+                self._retry.require_retry(exchange, failure, tried)
             except BaseException:
                 current.close()
                 raise
--- a/src/croftpulley/forwarding/retry.py
+++ b/src/croftpulley/forwarding/retry.py
@@ -34,7 +34,7 @@
         self._counters = counters
         self._clock = clock
 
-    def may_go_on(
+    def may_retry(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError, tried: set[str]
     ) -> bool:
         """Return whether the request may be sent to an endpoint that is not in ``tried``.
@@ -72,15 +72,15 @@
             return False
         return exchange.hop is None or self._reach.is_reached(exchange.pool)
 
-    def go_on_or_raise(
+    def require_retry(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError, tried: set[str]
     ) -> None:
         """Return if another endpoint may be asked, else raise the error for the caller."""
-        if not self.may_go_on(exchange, failure, tried):
-            raise self.final(exchange, failure) from failure
+        if not self.may_retry(exchange, failure, tried):
+            raise self.final_error(exchange, failure) from failure
         failures.log_repeat(exchange, failure)
 
-    def final(
+    def final_error(
         self, exchange: base.Exchange, failure: errors.CroftpulleyError
     ) -> errors.CroftpulleyError:
         """Return the error for the caller after all attempts, with the time to retry."""
--- a/src/croftpulley/forwarding/rules.py
+++ b/src/croftpulley/forwarding/rules.py
@@ -18,7 +18,7 @@
 another; one run each)."""
 
 
-class LimitUnread(base.ForwardFilter):
+class LimitUnreadBytes(base.ForwardFilter):
     """Rejects new requests while too many response bytes wait for slow callers at this box."""
 
     def __init__(self, unread_bytes: Callable[[], int], max_bytes: int) -> None:
--- a/src/croftpulley/forwarding/suspects.py
+++ b/src/croftpulley/forwarding/suspects.py
@@ -37,7 +37,7 @@
 """Added to the request's remaining time: a router needs it to end the request and report that."""
 
 
-class Gate:
+class SuspectGate:
     """Rejects suspect requests or sends them as trials, and records how attempts end."""
 
     def __init__(
@@ -86,24 +86,24 @@
             exchange.trial = ""
             exchange.tried_features = ()
 
-    def began(
+    def attempt_started(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
         """Record that the request is about to be sent to an endpoint."""
         self._known.begin(endpoint, _identify(exchange), attempt)
 
-    def ended(
+    def attempt_ended(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
         """Record how an attempt ended."""
         ending = _classify_end(attempt, is_cancelled=exchange.token.reason is not None)
         self._known.end(endpoint, _identify(exchange), attempt, ending)
 
-    def answered(self, endpoint: membership.Endpoint) -> None:
+    def response_started(self, endpoint: membership.Endpoint) -> None:
         """Record that an endpoint has begun a successful response, so it is alive."""
         self._known.lives_on(endpoint)
 
-    def wrote(
+    def event_received(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
     ) -> None:
         """Record a stream event; clears the prompt parts once the stream has lasted long enough."""
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -22,7 +22,7 @@
 of endpoints and its message arrives within that."""
 
 
-class TakeUp(base.ForwardFilter):
+class ResumeStream(base.ForwardFilter):
     """Binds a request that resumes a stream to the pool and version that began the stream."""
 
     def __init__(
--- a/src/croftpulley/forwarding/vocabulary.py
+++ b/src/croftpulley/forwarding/vocabulary.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Vocabulary:
+class HeaderNames:
     """Header names in lower case, grouped by who sets them; see `ownership` for forwarding."""
 
     # Set by the caller and forwarded unchanged, as is every header not named here.
@@ -53,5 +53,5 @@
     """The endpoint crashes if it has to reject more requests in a second than this."""
 
 
-OWN = Vocabulary()
+FLEET_HEADER_NAMES = HeaderNames()
 """The header names of the fleet's own interface."""
--- a/src/croftpulley/http/forward_app.py
+++ b/src/croftpulley/http/forward_app.py
@@ -24,7 +24,7 @@
         self,
         view: actors.View[router_state.RouterState],
         chain: base.Proceed,
-        names: vocabulary.Vocabulary,
+        names: vocabulary.HeaderNames,
         clock: clocks.Clock,
     ) -> None:
         self._view = view
--- a/src/croftpulley/interfaces/callers.py
+++ b/src/croftpulley/interfaces/callers.py
@@ -25,7 +25,7 @@
 
     @property
     @abc.abstractmethod
-    def names(self) -> vocabulary.Vocabulary:
+    def names(self) -> vocabulary.HeaderNames:
         """The names of the headers."""
 
     @abc.abstractmethod
@@ -47,9 +47,9 @@
     """The fleet's own interface (``docs/INTERFACES.md``)."""
 
     @property
-    def names(self) -> vocabulary.Vocabulary:
+    def names(self) -> vocabulary.HeaderNames:
         """The names of the headers."""
-        return vocabulary.OWN
+        return vocabulary.FLEET_HEADER_NAMES
 
     def directory(
         self,
--- a/src/croftpulley/platform/callers.py
+++ b/src/croftpulley/platform/callers.py
@@ -21,7 +21,7 @@
     """The platform's interface for callers."""
 
     @property
-    def names(self) -> vocabulary.Vocabulary:
+    def names(self) -> vocabulary.HeaderNames:
         """The names of the headers."""
         return names.VOCABULARY
 
--- a/src/croftpulley/platform/names.py
+++ b/src/croftpulley/platform/names.py
@@ -4,7 +4,7 @@
 
 from croftpulley.forwarding import vocabulary
 
-VOCABULARY = vocabulary.Vocabulary(
+VOCABULARY = vocabulary.HeaderNames(
     # "Attempt" is one request of the caller, not one of our attempts at an endpoint.
     request_id="croftpulley-attempt-id",
     prompt_parts="croftpulley-prompt-prefix",
--- a/testing/forwarding/test_cold_departures.py
+++ b/testing/forwarding/test_cold_departures.py
@@ -27,7 +27,7 @@
 
 def test_a_request_that_times_out_before_it_is_sent_frees_its_quota(counts, clock):
     departure = counts.take_cold("e", 1)
-    placed = place.Placed(endpoint=ENDPOINT, departure=departure)
+    placed = place.PlacementDecision(endpoint=ENDPOINT, send_record=departure)
     request = base.ForwardRequest(method="GET", target="/", headers={}, body=b"", arrived_s=0.0)
     exchange = base.Exchange(
         request=request,
@@ -35,7 +35,9 @@
         state=router_state.RouterState(),
         deadline_s=clock.monotonic_s(),
     )
-    opener = attempt.AttemptOpener(None, counts, None, None, None, None, vocabulary.OWN, clock)
+    opener = attempt.AttemptOpener(
+        None, counts, None, None, None, None, vocabulary.FLEET_HEADER_NAMES, clock
+    )
     with pytest.raises(errors.CroftpulleyError, match="DEADLINE_PASSED"):
         opener.open(exchange, placed, "")
     clock.advance(1.2)
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -22,7 +22,7 @@
 from croftpulley.settings import fleet
 
 ENDPOINT = membership.Endpoint("e", membership.EndpointKind.WORKER, "desk", "127.0.0.1:1", "h", "e")
-PLACED = place.Placed(endpoint=ENDPOINT)
+PLACED = place.PlacementDecision(endpoint=ENDPOINT)
 ROUTE = fleet.Route(
     name="r",
     host="x",
@@ -116,14 +116,14 @@
 ):
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     assert block_reason(send) is service.BlockReason.COLD
-    send(attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S)))
+    send(attrs.evolve(PLACED, send_record=counts.take_cold("e", COLD_PER_S)))
 
 
 def test_a_request_to_a_cold_endpoint_is_held_back_once_its_quota_has_expired(
     send, view, counts, clock
 ):
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
-    placed = attrs.evolve(PLACED, departure=counts.take_cold("e", COLD_PER_S))
+    placed = attrs.evolve(PLACED, send_record=counts.take_cold("e", COLD_PER_S))
     clock.advance(send_quotas.QUOTA_TTL_S)
     assert block_reason(send, placed) is service.BlockReason.COLD
 
--- a/testing/forwarding/test_ownership.py
+++ b/testing/forwarding/test_ownership.py
@@ -22,7 +22,7 @@
     time_limit_ms=1000.0,
     sticky=True,
 )
-VOCABULARIES = [vocabulary.OWN, names.VOCABULARY]
+HEADER_NAMES = [vocabulary.FLEET_HEADER_NAMES, names.VOCABULARY]
 CALLER_VALUE = "what-the-caller-sent"
 
 
@@ -40,13 +40,13 @@
     return headers.to_endpoint(exchange, outgoing, header_names)
 
 
-@pytest.mark.parametrize("header_names", VOCABULARIES, ids=["own", "platform"])
+@pytest.mark.parametrize("header_names", HEADER_NAMES, ids=["own", "platform"])
 def test_fleet_and_hop_by_hop_headers_from_caller_are_not_forwarded(header_names):
     given = dict.fromkeys(ownership.owners(header_names), CALLER_VALUE)
     assert CALLER_VALUE not in forwarded_headers(given, header_names).values()
 
 
-@pytest.mark.parametrize("header_names", VOCABULARIES, ids=["own", "platform"])
+@pytest.mark.parametrize("header_names", HEADER_NAMES, ids=["own", "platform"])
 def test_callers_own_headers_are_forwarded(header_names):
     given = {header_names.request_id: "r", header_names.prompt_parts: "a:1", "x-anything": "y"}
     sent = forwarded_headers(given, header_names)
