--- a/src/croftpulley/controllers/endpoints.py
+++ b/src/croftpulley/controllers/endpoints.py
@@ -31,7 +31,7 @@
         self._view = view
         self._clock = clock
         self._tracker = incarnation_tracker.IncarnationTracker()
-        self._invalid_entries = listing.SpoiledEntries(counters)
+        self._invalid_entries = listing.InvalidEntries(counters)
         self._read_fails = False
         self._due_at_s = float("-inf")
 
@@ -44,13 +44,13 @@
             reading = self._platform.read()
         except errors.CroftpulleyError as failure:
             if isinstance(failure, lists.NotNowError):
-                self._due_at_s = now_s + min(failure.wait_s, listing.LONGEST_WAIT_S)
+                self._due_at_s = now_s + min(failure.wait_s, listing.MAX_WAIT_S)
             if not self._read_fails:
                 _log_failure(events.Event.PLATFORM_LIST_FAILED, failure)
             self._read_fails = True
             return
         self._read_fails = False
-        self._invalid_entries.found(reading)
+        self._invalid_entries.record(reading)
         self._view.publish(self._tracker.update(reading.endpoints, self._clock.monotonic_s()))
 
 
@@ -76,7 +76,7 @@
             self._read(engine)
 
     def _read(self, engine: membership.Endpoint) -> None:
-        self._gate.ask(engine.name)
+        self._gate.begin_load_query(engine.name)
         try:
             report = self._client.load(engine.address)
         except errors.CroftpulleyError as failure:
@@ -85,7 +85,7 @@
             self._failing.add(engine.name)
             return
         self._failing.discard(engine.name)
-        self._gate.report(engine.name, report.running, report.slots)
+        self._gate.store_load_report(engine.name, report.running, report.slots)
 
 
 def _log_failure(event: events.Event, failure: errors.CroftpulleyError) -> None:
--- a/src/croftpulley/controllers/fleet_state.py
+++ b/src/croftpulley/controllers/fleet_state.py
@@ -89,7 +89,7 @@
             engines_version=version,
             engines=None if version == self._acknowledged_engines else engines,
             loads=self._gate.pool_loads(),
-            released=self._gate.give_up(give_up),
+            released=self._gate.release(give_up),
         )
 
     def _apply_answer(self, answer: messages.RenewalAnswer, renewal: messages.Renewal) -> None:
@@ -108,7 +108,7 @@
             loads=answer.loads,
         )
         # The gate first: whoever sees the new directory may rely on the gate knowing it.
-        self._gate.follow(changed, renewal.loads)
+        self._gate.apply_fleet_state(changed, renewal.loads)
         self._view.publish(changed)
 
     def _note_failed_renewal(self, failure: errors.CroftpulleyError) -> None:
--- a/src/croftpulley/controllers/gate.py
+++ b/src/croftpulley/controllers/gate.py
@@ -111,7 +111,7 @@
             self._counters.engine_outstanding(engine, owned.count.outstanding)
             return Admitted(owned.engine)
 
-    def leave(self, engine: str, epoch: int) -> None:
+    def remove_request(self, engine: str, epoch: int) -> None:
         """Remove one request from the count; ignored if the ownership has changed since."""
         with self._lock:
             owned = self._owned.get(engine)
@@ -119,7 +119,7 @@
                 owned.count.remove_request()
                 self._counters.engine_outstanding(engine, owned.count.outstanding)
 
-    def hear(self, engine: str, epoch: int, notice: withdrawal.Notice) -> None:
+    def apply_notice(self, engine: str, epoch: int, notice: withdrawal.Notice) -> None:
         """Apply what an engine announces in a response; ignored if the ownership has changed."""
         if notice.is_empty:
             return
@@ -139,7 +139,7 @@
         if news.leaves:
             events.emit(_LOG, events.Event.LEAVING_SAID, endpoint=engine)
 
-    def ask(self, engine: str) -> None:
+    def begin_load_query(self, engine: str) -> None:
         """Note that a query for an engine's load report is about to be sent."""
         with self._lock:
             owned = self._owned.get(engine)
@@ -147,7 +147,7 @@
                 owned.is_load_query_sent = True
                 owned.count.begin_load_query()
 
-    def report(self, engine: str, running: int, slots: int) -> None:
+    def store_load_report(self, engine: str, running: int, slots: int) -> None:
         """Store an engine's load report; ignored without a load query under this ownership."""
         with self._lock:
             owned = self._owned.get(engine)
@@ -186,7 +186,7 @@
         listed = self._fleet_limits.listed_engines.get(pool, 0)
         return admission.current_mean_load(fleet_load, reported_load, self._pool_load(pool), listed)
 
-    def give_up(self, engines: tuple[str, ...]) -> tuple[membership.Ownership, ...]:
+    def release(self, engines: tuple[str, ...]) -> tuple[membership.Ownership, ...]:
         """Stop admitting to ``engines``; return all released ownerships not yet reassigned."""
         with self._lock:
             for engine in engines:
@@ -196,7 +196,7 @@
                     self._record_loss(owned)
             return tuple(sorted(self._released, key=lambda each: each.engine))
 
-    def follow(
+    def apply_fleet_state(
         self, fleet_state: state.FleetState, reported: tuple[membership.PoolLoad, ...]
     ) -> None:
         """Apply the ownerships and limits of a new fleet state.
--- a/src/croftpulley/controllers/heard_loads.py
+++ b/src/croftpulley/controllers/heard_loads.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class HeardOfPool:
+class RemotePoolLoads:
     """A pool's endpoints as candidates with the loads of other boxes, as of the last renewal.
 
     ``members`` are the endpoints by key; ``prefilling`` are the keys of those that had prompt
@@ -22,12 +22,12 @@
 
     members: Mapping[str, membership.Endpoint]
     candidates: tuple[selection.Candidate, ...]
-    reads: frozenset[str]
+    prefilling: frozenset[str]
 
     @classmethod
-    def of(
+    def from_state(
         cls, members: Mapping[str, membership.Endpoint], state: router_state.RouterState
-    ) -> HeardOfPool:
+    ) -> RemotePoolLoads:
         """Return the loads of all boxes at these endpoints less those of this box."""
         loads = _subtract_own(state.loads, state.own_loads)
         reading = _subtract_own(state.reading_tokens, state.own_reading_tokens)
@@ -54,25 +54,25 @@
     """
 
     state: router_state.RouterState
-    by_members: dict[int, HeardOfPool] = attrs.field(factory=dict)
+    by_members: dict[int, RemotePoolLoads] = attrs.field(factory=dict)
 
 
-class HeardLoads:
+class RemoteLoadCache:
     """Caches `RemotePoolLoads` for each pool until the state changes with the next renewal."""
 
     def __init__(self) -> None:
         self._cache = _StateCache(router_state.RouterState())
 
-    def of(
+    def for_pool(
         self, members: Mapping[str, membership.Endpoint], state: router_state.RouterState
-    ) -> HeardOfPool:
+    ) -> RemotePoolLoads:
         """Return the loads of other boxes at these endpoints, computed once for each mapping."""
         cache = self._cache
         if cache.state is not state:
             cache = self._cache = _StateCache(state)
         loads = cache.by_members.get(id(members))
         if loads is None:
-            loads = cache.by_members[id(members)] = HeardOfPool.of(members, state)
+            loads = cache.by_members[id(members)] = RemotePoolLoads.from_state(members, state)
         return loads
 
 
--- a/src/croftpulley/controllers/listing.py
+++ b/src/croftpulley/controllers/listing.py
@@ -20,7 +20,7 @@
 
 _LOG = logging.getLogger(__name__)
 Endpoints = tuple[membership.Endpoint, ...]
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 """Upper limit on the wait that a list may ask for. The last list is 5 s old by then, which is as
 long as endpoints that shut down go on serving."""
 
@@ -38,7 +38,7 @@
     read_at_s: float = float("-inf")
     cold_until_s: dict[str, float] = attrs.field(factory=dict)
 
-    def cold(self, now_s: float) -> list[membership.Endpoint]:
+    def cold_endpoints(self, now_s: float) -> list[membership.Endpoint]:
         """Return the endpoints that are cold at ``now_s``."""
         if not self.cold_until_s:
             return []
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class SaidLeaving:
+class AnnouncedLeaving:
     """The keys of endpoint incarnations that have announced that they shut down."""
 
     keys: tuple[str, ...]
@@ -62,14 +62,14 @@
         """Tell whether this box has to read the list now."""
 
 
-class SpoiledEntries:
+class InvalidEntries:
     """Counts invalid list entries at each reading; logs a kind of defect when its count changes."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._counters = counters
         self._last_counts: dict[str, int] = {}
 
-    def found(self, reading: lists.Reading) -> None:
+    def record(self, reading: lists.Reading) -> None:
         """Count the invalid entries of one reading and log the counts that changed."""
         counts = reading.defects()
         problems = {each.defect.value: each.problem for each in reading.spoiled}
@@ -110,14 +110,14 @@
         self._view = view
         self._interval_s = interval_s
         self._clock = clock
-        self._invalid_entries = SpoiledEntries(counters)
+        self._invalid_entries = InvalidEntries(counters)
         self._tracker = incarnation_tracker.IncarnationTracker()
         self._due_at_s = float("-inf")
         self._read_fails = False
 
     def handle(self, message: object) -> None:
         """Read the list if it is due and this box's turn, or mark endpoints as shutting down."""
-        if isinstance(message, SaidLeaving):
+        if isinstance(message, AnnouncedLeaving):
             self._mark_leaving(message.keys)
             return
         now_s = self._clock.monotonic_s()
@@ -128,13 +128,13 @@
             reading = self._platform.read()
         except errors.CroftpulleyError as failure:
             if isinstance(failure, lists.NotNowError):
-                self._due_at_s = now_s + max(self._interval_s, min(failure.wait_s, LONGEST_WAIT_S))
+                self._due_at_s = now_s + max(self._interval_s, min(failure.wait_s, MAX_WAIT_S))
             self._note_failed_reading(failure)
             return
         if self._read_fails:
             events.emit(_LOG, events.Event.PLATFORM_LIST_READ, endpoints=len(reading.endpoints))
         self._read_fails = False
-        self._invalid_entries.found(reading)
+        self._invalid_entries.record(reading)
         read_at_s = self._clock.monotonic_s()
         known = {each.key: each for each in self._view.get().endpoints.value}
         current = self._tracker.update(reading.endpoints, read_at_s)
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -95,7 +95,7 @@
         self._lock = threading.Lock()
         self._pools: dict[str, _Pool] = {}
 
-    def take(self, request: Request) -> Permit:
+    def acquire(self, request: Request) -> Permit:
         """Return a permit, waiting for it if necessary; the caller must `release` it.
 
         Raises `NoPermitError` if the wait would be or has become too long, and the token's error if
@@ -130,7 +130,7 @@
         request.token.check()
         raise NoPermitError(request.pool, decision.figures, now_s - started_s)
 
-    def give_back(self, permit: Permit) -> None:
+    def release(self, permit: Permit) -> None:
         """Release a permit; it is granted to the first request in the queue."""
         with self._lock:
             self._release(permit, self._pools[permit.pool], self._clock.monotonic_s())
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -35,7 +35,7 @@
 from croftpulley.transport import box_messages, json_codec, links
 
 _LOG = logging.getLogger(__name__)
-TICKS_AN_INTERVAL = 4
+TICKS_PER_INTERVAL = 4
 """Ticks per renewal interval.
 
 A box renews at each tick while it may not serve yet (it lacks a lease, a configuration or
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class UseAddresses:
+class SetSeedAddresses:
     """Sets the seed addresses: control boxes to ask when all known ones are gone."""
 
     control_addresses: tuple[str, ...]
@@ -122,7 +122,7 @@
                 self._begin_fetch()
             case _FetchPart():
                 self._fetch_part()
-            case UseAddresses(addresses):
+            case SetSeedAddresses(addresses):
                 self._seed_addresses = addresses
                 self._merge_addresses()
             case StartDraining():
@@ -140,7 +140,7 @@
         self._use_own_listing()
         if self._view.get().may_serve(self._clock.monotonic_s()) and not self._has_more_notes:
             # Due half a tick early, since ticks are never exactly on time.
-            tick_s = self._interval_s / TICKS_AN_INTERVAL
+            tick_s = self._interval_s / TICKS_PER_INTERVAL
             self._due_at_s = started_s + self._interval_s - tick_s / 2
 
     def _begin_fetch(self) -> None:
@@ -188,7 +188,7 @@
         self._set_endpoint_list(listed.endpoints)
         # No quotas are assigned while the control boxes are silent, so cold endpoints get 0.
         zero_quotas = dict.fromkeys(
-            (each.key for each in listed.cold(self._clock.monotonic_s())), 0
+            (each.key for each in listed.cold_endpoints(self._clock.monotonic_s())), 0
         )
         self._view.publish(
             attrs.evolve(self._with_endpoints(known, self._endpoint_list), cold=zero_quotas)
@@ -373,7 +373,7 @@
         sent_at_s: float,
     ) -> router_state.RouterState:
         """Return the state with the quotas of cold endpoints; unchanged if for another list."""
-        unchanged = state.without_old_returns(self._clock.monotonic_s())
+        unchanged = state.without_expired_returns(self._clock.monotonic_s())
         if answer.endpoints_version != self._endpoint_list.version:
             return unchanged
         quotas = send_quotas.decode_quotas(self._counts_by_key(answer.cold, answer))
--- a/src/croftpulley/controllers/router_state.py
+++ b/src/croftpulley/controllers/router_state.py
@@ -7,9 +7,9 @@
 from croftpulley.core import halls, membership, send_quotas, tables
 from croftpulley.settings import fleet
 
-SETTLED_S = 2.0
+SETTLED_TTL_S = 2.0
 """How long the leader's report that a pool's endpoints have one version remains valid."""
-LONGEST_SETTLED_S = 60.0
+MAX_SETTLED_TIME_LIMIT_S = 60.0
 """Longest time limit of a route whose streams may rely on `RouterState.is_settled`: longer streams
 may outlast the leader's record of versions that are gone
 (`core.pool_versions.RESUMABLE_AFTER_UNLISTED_S`)."""
@@ -90,7 +90,7 @@
                 returned_at_s[hall] = now_s
         return attrs.evolve(self, evacuated=evacuated, returned_at_s=returned_at_s)
 
-    def without_old_returns(self, now_s: float) -> RouterState:
+    def without_expired_returns(self, now_s: float) -> RouterState:
         """Return the state without halls that returned too long ago to have cold endpoints."""
         if not self.returned_at_s:
             return self
@@ -106,7 +106,7 @@
         """Whether any endpoint may be cold; a cheap check before `cold_quota`."""
         return bool(self.cold or self.returned_at_s)
 
-    def cold_a_second(self, endpoint: membership.Endpoint, now_s: float) -> int | None:
+    def cold_quota(self, endpoint: membership.Endpoint, now_s: float) -> int | None:
         """Return the quota of an endpoint in requests per second, ``None`` if it is warm."""
         pool = self.tables.pools.get(endpoint.pool)
         if pool is None or not pool.cold_per_s:
@@ -122,7 +122,7 @@
 
         This relies on the leading control box's report; without a recent one no pool is settled.
         """
-        if self.mixed is None or now_s > self.heard_at_s + SETTLED_S:
+        if self.mixed is None or now_s > self.heard_at_s + SETTLED_TTL_S:
             return False
         return pool not in self.mixed
 
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -296,7 +296,7 @@
     def _cold(self, box: str, listed: listing.Listing) -> dict[str, int]:
         """Return a box's encoded send quotas for the endpoints that are cold."""
         now_s = self._clock.monotonic_s()
-        cold_now = listed.cold(now_s)
+        cold_now = listed.cold_endpoints(now_s)
         if not cold_now:
             return {}
         limits_per_s = self._cold_per_s()
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -22,7 +22,7 @@
 _LOG = logging.getLogger(__name__)
 NEW_VERSION_S = 5.0
 """How long a version counts as new at a box after the box has first seen it. For
-`router_state.SETTLED_S`, another box may still assume that the pool has a single version, from a
+`router_state.SETTLED_TTL_S`, another box may still assume that the pool has a single version, from a
 list that the leader read up to 2 s earlier and that lagged."""
 TIMEOUT_S = 0.25
 """Timeout for a message to another box, short enough to leave time for trying the next box."""
--- a/src/croftpulley/controllers/traffic.py
+++ b/src/croftpulley/controllers/traffic.py
@@ -52,7 +52,7 @@
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
         self._extra_share = retry_budget.ExtraShare()
         self._send_limiter = send_quotas.SendLimiter.after_restart(clock.monotonic_s())
-        self._heard_loads = heard_loads.HeardLoads()
+        self._heard_loads = heard_loads.RemoteLoadCache()
         self._shares_room = shares_room
         self._brittle = brittle.BrittleEndpoints()
 
@@ -144,13 +144,13 @@
         Most candidates are shared by all requests until the next renewal. Only endpoints that this
         box has a record of, and those that differ for the prompt, are computed for each request.
         """
-        heard = self._heard_loads.of(members, state)
+        heard = self._heard_loads.for_pool(members, state)
         # Engines have gone on with the prefill of other boxes' requests since it was reported.
         now_s = self._clock.monotonic_s()
         age_s = now_s - state.loads_at_s
         prefilled_since = self._rates.prefill_tokens_per_ms * 1000 * age_s
         with self._lock:
-            differs = heard.reads | held_tokens.keys() | self._records.recorded_keys()
+            differs = heard.prefilling | held_tokens.keys() | self._records.recorded_keys()
             return [
                 self._candidate(each, prefilled_since, held_tokens, now_s)
                 if each.name in differs
--- a/src/croftpulley/core/pool_versions.py
+++ b/src/croftpulley/core/pool_versions.py
@@ -14,7 +14,7 @@
 
 RESUMABLE_AFTER_UNLISTED_S = 120.0
 """How long after a version was last listed its streams may still be resumed: twice the longest time
-limit of a route whose streams are ever settled (`router_state.LONGEST_SETTLED_S`)."""
+limit of a route whose streams are ever settled (`router_state.MAX_SETTLED_TIME_LIMIT_S`)."""
 
 
 @attrs.frozen(order=True)
--- a/src/croftpulley/daemons/replica.py
+++ b/src/croftpulley/daemons/replica.py
@@ -103,7 +103,7 @@
             self._replica_status,
             self._endpoints,
             pools.cold_per_s,
-            lambda keys: self._listing.tell(listing.SaidLeaving(keys)),
+            lambda keys: self._listing.tell(listing.AnnouncedLeaving(keys)),
             settings.lease_s,
             settings.drift_margin_s,
             retry_budget.Allowance(window_s=settings.retry_window_s).counted_s,
--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -170,7 +170,7 @@
         self._controllers += [reader, sweeper, limiter, suspecting, rests, reaching, telling]
         self._renewal.tell(actors.Tick())
         self._tickers = [
-            actors.Ticker(self._renewal, settings.renew_interval_s / renewal.TICKS_AN_INTERVAL),
+            actors.Ticker(self._renewal, settings.renew_interval_s / renewal.TICKS_PER_INTERVAL),
             actors.Ticker(reader, settings.platform_interval_s),
             actors.Ticker(sweeper, _SWEEP_INTERVAL_S),
             actors.Ticker(limiter, settings.renew_interval_s),
@@ -189,7 +189,7 @@
 
     def use_settings(self, settings: schema.RouterSettings) -> None:
         """Look for control boxes at other addresses from now on."""
-        self._renewal.tell(renewal.UseAddresses(settings.control_addresses))
+        self._renewal.tell(renewal.SetSeedAddresses(settings.control_addresses))
 
     def lease_left_s(self) -> float:
         """Return for how long this box may still act on its lease."""
--- a/src/croftpulley/dispatch/local.py
+++ b/src/croftpulley/dispatch/local.py
@@ -52,10 +52,10 @@
             stream = self._client.start(address, order, attempt, token)
         except BaseException as failure:
             if isinstance(failure, base.EngineRefusalError):
-                self._gate.hear(order.engine, order.epoch, failure.notice)
+                self._gate.apply_notice(order.engine, order.epoch, failure.notice)
             self.end(order, address, attempt)
             raise
-        self._gate.hear(order.engine, order.epoch, stream.notice)
+        self._gate.apply_notice(order.engine, order.epoch, stream.notice)
         return LocalAttempt(self, order, address, attempt, stream)
 
     def end(self, order: messages.DispatchOrder, address: str, attempt: attempts.Attempt) -> None:
@@ -66,7 +66,7 @@
         if attempt.phase in (attempts.Phase.SENT, attempts.Phase.ANSWERING):
             self._cancels.submit(self._cancel_then_leave, order, address)
         else:
-            self._gate.leave(order.engine, order.epoch)
+            self._gate.remove_request(order.engine, order.epoch)
 
     def stop(self) -> None:
         """Wait for pending cancel requests."""
@@ -84,7 +84,7 @@
                 problem=str(failure),
             )
         finally:
-            self._gate.leave(order.engine, order.epoch)
+            self._gate.remove_request(order.engine, order.epoch)
 
 
 class LocalAttempt(base.EngineStream):
--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -44,7 +44,7 @@
         """
         if self._counts.bounds_room(exchange.pool):
             permit = self._acquire(exchange)
-            exchange.at_end.callback(self._permits.give_back, permit)
+            exchange.at_end.callback(self._permits.release, permit)
         return proceed(exchange)
 
     def _acquire(self, exchange: base.Exchange) -> permits.Permit:
@@ -58,7 +58,7 @@
             token=exchange.token,
         )
         try:
-            permit = self._permits.take(request)
+            permit = self._permits.acquire(request)
         except permits.NoPermitError as failure:
             self._counters.admission(request.workspace, request.urgency, "refused")
             _log_event(
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -104,7 +104,7 @@
             return service.BlockReason.WITHDRAWN
         if not state.may_be_cold:
             return None
-        cold_quota_per_s = state.cold_a_second(endpoint, now_s)
+        cold_quota_per_s = state.cold_quota(endpoint, now_s)
         if cold_quota_per_s is None or (cold_quota_per_s and placed.send_record is not None):
             return None
         return service.BlockReason.COLD
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -69,7 +69,7 @@
             placed = self._choose(exchange, state, excluded)
             if not state.may_be_cold:
                 return placed
-            quota_per_s = state.cold_a_second(placed.endpoint, self._clock.monotonic_s())
+            quota_per_s = state.cold_quota(placed.endpoint, self._clock.monotonic_s())
             if quota_per_s is None:
                 return placed
             send_record = self._counts.take_cold(placed.endpoint.key, quota_per_s)
@@ -149,7 +149,7 @@
         self, endpoint: membership.Endpoint, state: router_state.RouterState, now_s: float
     ) -> bool:
         """Return whether an endpoint is not cold, or its quota allows one more request."""
-        quota_per_s = state.cold_a_second(endpoint, now_s)
+        quota_per_s = state.cold_quota(endpoint, now_s)
         return quota_per_s is None or self._counts.may_send_cold(endpoint.key, quota_per_s)
 
     def _choose_candidate(
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -67,7 +67,7 @@
         """Return whether all endpoints of the pool have had one version for long enough."""
         if not exchange.facts.resumes and exchange.known_route.is_split:
             return False
-        if exchange.known_route.time_limit_ms / 1000 > router_state.LONGEST_SETTLED_S:
+        if exchange.known_route.time_limit_ms / 1000 > router_state.MAX_SETTLED_TIME_LIMIT_S:
             return False
         return self._view.get().is_settled(exchange.pool, self._clock.monotonic_s())
 
--- a/testing/controllers/test_gate.py
+++ b/testing/controllers/test_gate.py
@@ -23,7 +23,7 @@
 def gained(clock):
     """Return a gate that has just gained an engine and has no load report of it yet."""
     engine_gate = gate.EngineGate("me", clock, metrics.Metrics())
-    engine_gate.follow(fleet_state(epoch=3), ())
+    engine_gate.apply_fleet_state(fleet_state(epoch=3), ())
     return engine_gate
 
 
@@ -34,8 +34,8 @@
 
 
 def report_load(engine_gate, running):
-    engine_gate.ask("e")
-    engine_gate.report("e", running, slots=0)
+    engine_gate.begin_load_query("e")
+    engine_gate.store_load_report("e", running, slots=0)
 
 
 def fleet_state(epoch, box="me", leaving=False, incarnation="1"):
@@ -62,27 +62,27 @@
 
 
 def test_a_released_engine_is_not_admitted_to_until_it_is_granted_again(owned):
-    assert owned.give_up(("e",)) == (membership.Ownership("e", "me", 3),)
-    owned.follow(fleet_state(epoch=3), ())
+    assert owned.release(("e",)) == (membership.Ownership("e", "me", 3),)
+    owned.apply_fleet_state(fleet_state(epoch=3), ())
     assert code_of(owned.admit("e", 3)) is NOT_OWNER
-    owned.follow(fleet_state(epoch=4), ())
+    owned.apply_fleet_state(fleet_state(epoch=4), ())
     assert code_of(owned.admit("e", 4)) is codes.ResultCode.LOAD_UNKNOWN
     report_load(owned, running=0)
     assert code_of(owned.admit("e", 4)) is codes.ResultCode.OK
-    assert owned.give_up(()) == ()
+    assert owned.release(()) == ()
 
 
 def test_the_count_is_exact_and_ignores_requests_of_an_earlier_epoch_that_end_late(owned):
     owned.admit("e", 3)
     assert owned.pool_loads() == (membership.PoolLoad("llm", 1, 1),)
-    owned.follow(fleet_state(epoch=4, box="other"), ())
-    owned.follow(fleet_state(epoch=5), ())
-    owned.leave("e", 3)
+    owned.apply_fleet_state(fleet_state(epoch=4, box="other"), ())
+    owned.apply_fleet_state(fleet_state(epoch=5), ())
+    owned.remove_request("e", 3)
     assert owned.pool_loads() == (membership.PoolLoad("llm", 0, 1),)
 
 
 def test_requests_to_a_leaving_engine_are_refused_with_its_load(owned):
-    owned.follow(fleet_state(epoch=3, leaving=True), ())
+    owned.apply_fleet_state(fleet_state(epoch=3, leaving=True), ())
     refused = owned.admit("e", 3)
     assert attrs.asdict(refused) == {"code": codes.ResultCode.ENGINE_LEAVING, "load": 0}
 
@@ -101,7 +101,7 @@
 
 
 def test_a_missing_load_report_delays_a_new_owner_for_a_limited_time_only(gained, clock):
-    gained.ask("e")
+    gained.begin_load_query("e")
     clock.advance(gate.MAX_LOAD_WAIT_S)
     assert code_of(gained.admit("e", 3)) is codes.ResultCode.OK
 
@@ -109,9 +109,9 @@
 def test_gaining_an_engine_triggers_a_load_query_at_once(gained):
     asked = []
     gained.on_gained = lambda: asked.append(gained.unheard())
-    gained.follow(fleet_state(epoch=3), ())
+    gained.apply_fleet_state(fleet_state(epoch=3), ())
     assert asked == []
-    gained.follow(fleet_state(epoch=4), ())
+    gained.apply_fleet_state(fleet_state(epoch=4), ())
     assert [[each.name for each in engines] for engines in asked] == [["e"]]
     report_load(gained, running=0)
     assert gained.unheard() == ()
@@ -119,12 +119,12 @@
 
 def test_an_engine_that_restarts_under_its_owner_needs_no_new_load_report(owned):
     """Requests of the previous incarnation ended with it; this owner counted all later ones."""
-    owned.follow(fleet_state(epoch=3, incarnation="2"), ())
+    owned.apply_fleet_state(fleet_state(epoch=3, incarnation="2"), ())
     assert code_of(owned.admit("e", 3)) is codes.ResultCode.OK
 
 
 def test_a_load_report_requested_under_an_earlier_ownership_is_ignored(gained):
-    gained.ask("e")
-    gained.follow(fleet_state(epoch=4), ())
-    gained.report("e", running=0, slots=0)
+    gained.begin_load_query("e")
+    gained.apply_fleet_state(fleet_state(epoch=4), ())
+    gained.store_load_report("e", running=0, slots=0)
     assert code_of(gained.admit("e", 4)) is codes.ResultCode.LOAD_UNKNOWN
--- a/testing/controllers/test_permits.py
+++ b/testing/controllers/test_permits.py
@@ -52,14 +52,14 @@
         )
 
     def take_permits(self, count):
-        return [self.permits.take(self.request()) for _ in range(count)]
+        return [self.permits.acquire(self.request()) for _ in range(count)]
 
     def start_waiting(self, request, ended):
         """Have a thread ask for a permit; it appends the permit or the error to ``ended``."""
 
         def run():
             try:
-                ended.append((request, self.permits.take(request)))
+                ended.append((request, self.permits.acquire(request)))
             except errors.CroftpulleyError as failure:
                 ended.append((request, failure))
 
@@ -78,7 +78,7 @@
 def test_a_single_box_has_permits_for_the_whole_capacity(box):
     box.take_permits(ALL_PERMITS)
     with pytest.raises(permits.NoPermitError) as refused:
-        box.permits.take(box.request(objective_s=0.01))
+        box.permits.acquire(box.request(objective_s=0.01))
     assert refused.value.code is codes.ResultCode.NO_CAPACITY
     assert box.permits.in_use() == {"llm": ALL_PERMITS}
     assert box.permits.waiting() == {}
@@ -90,7 +90,7 @@
     for urgency in (5, 0, 2):
         box.start_waiting(box.request(urgency), ended)
     for count, urgency in enumerate((0, 2, 5), 1):
-        box.permits.give_back(held.pop())
+        box.permits.release(held.pop())
         wait_until(lambda count=count: len(ended) == count, "it has a permit")
         assert ended[-1][0].urgency == urgency
         assert ended[-1][1].waited_s > 0
@@ -105,7 +105,7 @@
     wait_until(lambda: ended, "it has been cancelled")
     assert ended[0][1].code is codes.ResultCode.CALLER_GONE
     for each in held:
-        box.permits.give_back(each)
+        box.permits.release(each)
     assert box.permits.in_use() == {}
     assert len(box.take_permits(ALL_PERMITS)) == ALL_PERMITS
 
@@ -134,7 +134,7 @@
     box.update_state(**change)
     box.take_permits(ALL_PERMITS)
     with pytest.raises(permits.NoPermitError):
-        box.permits.take(box.request(objective_s=0.01))
+        box.permits.acquire(box.request(objective_s=0.01))
 
 
 def test_an_endpoint_that_only_this_box_avoids_still_counts_as_capacity(box):
@@ -150,7 +150,7 @@
     box.view.publish(attrs.evolve(box.view.get(), loads_at_s=old_s))
     box.take_permits(1)
     with pytest.raises(permits.NoPermitError):
-        box.permits.take(box.request(objective_s=0.01))
+        box.permits.acquire(box.request(objective_s=0.01))
 
 
 def test_requests_do_not_wait_for_a_pool_without_endpoints(box):
@@ -168,4 +168,4 @@
     box.update_state()
     assert len(box.take_permits(SLOTS)) == SLOTS
     with pytest.raises(permits.NoPermitError):
-        box.permits.take(box.request(objective_s=0.01))
+        box.permits.acquire(box.request(objective_s=0.01))
--- a/testing/golden/sessions.py
+++ b/testing/golden/sessions.py
@@ -189,10 +189,10 @@
         closed = actors.View(False)
         watch = streams.Streams(100, self.clock, counters)
         engine_gate = gate.EngineGate(box.name, self.clock, counters)
-        engine_gate.follow(self.state, ())
+        engine_gate.apply_fleet_state(self.state, ())
         for each in engine_gate.unheard():
-            engine_gate.ask(each.name)
-            engine_gate.report(each.name, running=0, slots=0)
+            engine_gate.begin_load_query(each.name)
+            engine_gate.store_load_report(each.name, running=0, slots=0)
         dispatcher = AtOnce(engine_gate, self.engines)
         self.peers[box.peer_address] = peer_app.PeerApp(dispatcher, watch, self.clock, counters)
         filters = chain.Filters(
