--- a/src/croftpulley/cli/bench.py
+++ b/src/croftpulley/cli/bench.py
@@ -186,7 +186,7 @@
         "built_in": choosers.BuiltIn(),
     }
     if program is not None:
-        score = policy_cli.read_program(program, arms.CANDIDATE_NAMES)
+        score = policy_cli.read_program(program, arms.CANDIDATE_VARIABLES)
         ways["program"] = choosers.ByProgram(arms.Arm(name="program", score=score))
     played = drawn.deployment(seed) if deployment == _DRAWN else traffic.DEPLOYMENTS[deployment]
     rows = emulation.compare(played, ways, seconds, seed)
--- a/src/croftpulley/cli/policy.py
+++ b/src/croftpulley/cli/policy.py
@@ -31,7 +31,7 @@
 
     Example: croftpulley policy check examples/policies/shifa.policy
     """
-    read_program(file, arms.REQUEST_NAMES if admit else arms.CANDIDATE_NAMES)
+    read_program(file, arms.REQUEST_VARIABLES if admit else arms.CANDIDATE_VARIABLES)
     click.echo(f"{file}: in order")
 
 
--- a/src/croftpulley/controllers/endpoints.py
+++ b/src/croftpulley/controllers/endpoints.py
@@ -43,7 +43,7 @@
         try:
             reading = self._platform.read()
         except errors.CroftpulleyError as failure:
-            if isinstance(failure, lists.NotNowError):
+            if isinstance(failure, lists.RetryLaterError):
                 self._due_at_s = now_s + min(failure.wait_s, listing.MAX_WAIT_S)
             if not self._read_fails:
                 _log_failure(events.Event.PLATFORM_LIST_FAILED, failure)
--- a/src/croftpulley/controllers/inventory.py
+++ b/src/croftpulley/controllers/inventory.py
@@ -98,7 +98,9 @@
         # Longest parts first: routers receive notes in this order, in batches.
         longest_first = sorted(cached_parts, key=lambda each: each.tokens, reverse=True)
         parts = tuple(
-            each.part for each in longest_first if each.tokens >= prompt_part_index.MIN_PART_TOKENS
+            each.part_id
+            for each in longest_first
+            if each.tokens >= prompt_part_index.MIN_PART_TOKENS
         )
         events.emit(
             _LOG,
--- a/src/croftpulley/controllers/listing.py
+++ b/src/croftpulley/controllers/listing.py
@@ -69,10 +69,10 @@
         self._counters = counters
         self._last_counts: dict[str, int] = {}
 
-    def record(self, reading: lists.Reading) -> None:
+    def record(self, reading: lists.ListSnapshot) -> None:
         """Count the invalid entries of one reading and log the counts that changed."""
-        counts = reading.defects()
-        problems = {each.defect.value: each.problem for each in reading.spoiled}
+        counts = reading.count_defects()
+        problems = {each.defect.value: each.problem for each in reading.invalid_entries}
         for defect in sorted(self._last_counts.keys() | counts.keys()):
             count = counts.get(defect, 0)
             self._counters.entries_spoiled(defect, count)
@@ -127,7 +127,7 @@
         try:
             reading = self._platform.read()
         except errors.CroftpulleyError as failure:
-            if isinstance(failure, lists.NotNowError):
+            if isinstance(failure, lists.RetryLaterError):
                 self._due_at_s = now_s + max(self._interval_s, min(failure.wait_s, MAX_WAIT_S))
             self._note_failed_reading(failure)
             return
@@ -139,7 +139,7 @@
         known = {each.key: each for each in self._view.get().endpoints.value}
         current = self._tracker.update(reading.endpoints, read_at_s)
         self._log_changes(known, current)
-        cold_until_s = {key: read_at_s + left_s for key, left_s in reading.cold_left_s.items()}
+        cold_until_s = {key: read_at_s + left_s for key, left_s in reading.cold_remaining_s.items()}
         self._view.publish(Listing(versions.Versioned(current), read_at_s, cold_until_s))
 
     def _mark_leaving(self, keys: tuple[str, ...]) -> None:
--- a/src/croftpulley/controllers/reach.py
+++ b/src/croftpulley/controllers/reach.py
@@ -96,7 +96,7 @@
         """Probe other endpoints of a pool; the path to the pool is lost if none is reached."""
         probed = random.sample(others, min(core.MAX_PROBED_ENDPOINTS, len(others)))
         addresses = [each.address for each in probed]
-        is_reached = dialer.first_to_listen(addresses, PROBE_TIMEOUT_S) is not None
+        is_reached = dialer.first_listening(addresses, PROBE_TIMEOUT_S) is not None
         with self._lock:
             now_s = self._clock.monotonic_s()
             is_new = self._pool(endpoint).probed(is_reached=is_reached, now_s=now_s)
@@ -214,9 +214,9 @@
         self._known.connected(self._endpoint)
         self._known.asked(self._endpoint)
 
-    def listens(self, address: str, timeout_s: float) -> bool | None:
+    def is_listening(self, address: str, timeout_s: float) -> bool | None:
         """Return the result of a probe as the wrapped dialer does, and record a success."""
-        listens = self._dialer.listens(address, timeout_s)
+        listens = self._dialer.is_listening(address, timeout_s)
         if listens:
             self._known.connected(self._endpoint)
         return listens
--- a/src/croftpulley/controllers/reach_checks.py
+++ b/src/croftpulley/controllers/reach_checks.py
@@ -66,7 +66,7 @@
             each.address: each
             for each in (of_pool[(start + n) % len(of_pool)] for n in range(count))
         }
-        address = self._dialer.first_to_listen(tuple(probed), reach.PROBE_TIMEOUT_S)
+        address = self._dialer.first_listening(tuple(probed), reach.PROBE_TIMEOUT_S)
         if address is not None:
             self._known.connected(probed[address])
 
@@ -84,7 +84,7 @@
         others = [each for each in self._of_pool(pool) if each not in doubtful]
         checked = random.sample(doubtful, 1)
         checked += random.sample(others or doubtful, min(MAX_CHECKED, len(others or doubtful)))
-        if dialing.first_that(self._is_healthy, checked) is not None:
+        if dialing.first_matching(self._is_healthy, checked) is not None:
             return
         if was_unanswered:
             self._known.mark_unresponsive(checked[0])
@@ -99,7 +99,9 @@
         target = connections.Target(endpoint.address, reach.PROBE_TIMEOUT_S, reach.PROBE_TIMEOUT_S)
         request = connections.HttpRequest("GET", path, content_type=None)
         try:
-            connections.whole(target, request, connections.WORKER_FAILURES, dialer=self._dialer)
+            connections.send_and_read(
+                target, request, connections.WORKER_FAILURES, dialer=self._dialer
+            )
         except errors.CroftpulleyError:
             # No response arrived.
             return False
--- a/src/croftpulley/controllers/suspicion_reports.py
+++ b/src/croftpulley/controllers/suspicion_reports.py
@@ -151,7 +151,7 @@
     A refused connection counts only while another listed endpoint can be reached, if there is one:
     otherwise this box may have lost its own network.
     """
-    listens = dialer.listens(endpoint.address, timeout_s)
+    listens = dialer.is_listening(endpoint.address, timeout_s)
     others = [each for each in listed if each.key != endpoint.key]
     if listens is False and others and not _can_reach_any(others, timeout_s, dialer):
         listens = None
@@ -163,7 +163,7 @@
 ) -> bool:
     silent = 0
     for each in random.sample(endpoints, len(endpoints)):
-        listens = dialer.listens(each.address, timeout_s)
+        listens = dialer.is_listening(each.address, timeout_s)
         if listens:
             return True
         silent += listens is None
--- a/src/croftpulley/dispatch/local.py
+++ b/src/croftpulley/dispatch/local.py
@@ -64,7 +64,7 @@
         The cancel request and the release then happen in another thread.
         """
         if attempt.phase in (attempts.Phase.SENT, attempts.Phase.ANSWERING):
-            self._cancels.submit(self._cancel_then_leave, order, address)
+            self._cancels.submit(self._cancel_and_release, order, address)
         else:
             self._gate.remove_request(order.engine, order.epoch)
 
@@ -72,7 +72,7 @@
         """Wait for pending cancel requests."""
         self._cancels.shutdown()
 
-    def _cancel_then_leave(self, order: messages.DispatchOrder, address: str) -> None:
+    def _cancel_and_release(self, order: messages.DispatchOrder, address: str) -> None:
         try:
             self._client.cancel(address, order.request_id, order.attempt)
         except errors.CroftpulleyError as failure:
--- a/src/croftpulley/dispatch/remote.py
+++ b/src/croftpulley/dispatch/remote.py
@@ -86,7 +86,7 @@
             case (messages.Refused(code, load),):
                 self._attempt.set_reported_phase(attempts.Phase.REFUSED)
                 raise local.NotAdmittedError(code, load)
-        raise self._exchange.failed(EOFError("the owner answered neither yes nor no"))
+        raise self._exchange.error_for(EOFError("the owner answered neither yes nor no"))
 
     def batches(self) -> Iterator[base.EventBatch]:
         """Yield the engine's events as the owner relays them."""
@@ -101,7 +101,7 @@
                 if done:
                     return
             self._raise_if_broken(batch)
-        raise self._exchange.failed(EOFError("the owner's stream ended before its end event"))
+        raise self._exchange.error_for(EOFError("the owner's stream ended before its end event"))
 
     def shutdown(self) -> None:
         """End `batches` from another thread."""
--- a/src/croftpulley/dispatch/wire.py
+++ b/src/croftpulley/dispatch/wire.py
@@ -41,7 +41,7 @@
 
 def encode_event(event: messages.DispatchEvent) -> bytes:
     """Encode an event as a server-sent event."""
-    return event_stream.encode(_document(event))
+    return event_stream.encode_event(_document(event))
 
 
 def _document(event: messages.DispatchEvent) -> dict[str, Any]:
@@ -68,4 +68,4 @@
     if "broken" in fields:
         broken = fields["broken"]
         return messages.Broken(codes.ResultCode(broken["code"]), attempts.Phase(broken["phase"]))
-    return event_stream.parse(fields)
+    return event_stream.parse_stream_event(fields)
--- a/src/croftpulley/emulator/choosers.py
+++ b/src/croftpulley/emulator/choosers.py
@@ -88,7 +88,7 @@
             hall="",
         )
         most = max(each.held_tokens for each in candidates)
-        chosen = arms.chosen(
+        chosen = arms.choose_endpoint(
             self._arm, request, selection.OverloadLimit().eligible(candidates), most
         )
         return chosen or candidates[0]
--- a/src/croftpulley/endpoints/connection.py
+++ b/src/croftpulley/endpoints/connection.py
@@ -56,11 +56,11 @@
     address: str
     connect_timeout_s: float
     silence_timeout_s: float
-    arrival_limit_s: float | None = None
-    asks_alive: bool = False
+    ack_timeout_s: float | None = None
+    uses_keepalive: bool = False
 
 
-def do_nothing() -> None:
+def no_op() -> None:
     """Do nothing; the default callback for a request that is sent."""
 
 
@@ -77,7 +77,7 @@
     body: bytes | None = None
     content_type: str | None = "application/json"
     extra_headers: dict[str, str] = attrs.field(factory=dict)
-    on_leaving: Callable[[], None] = do_nothing
+    on_send: Callable[[], None] = no_op
 
     def headers(self) -> dict[str, str]:
         """Return all headers except those for the transfer, such as the body's length."""
@@ -150,13 +150,13 @@
             self._attempt.is_end_ambiguous = _is_delimited_by_close(response)
             return response
         except TRANSPORT_ERRORS as failure:
-            raise self.failed(failure) from failure
+            raise self.error_for(failure) from failure
 
     def _send(self, request: HttpRequest) -> urllib3.HTTPResponse:
         _set_io_timeouts(self._connection.sock, self._target.silence_timeout_s)
-        if self._target.arrival_limit_s is not None:
-            _set_ack_timeout(self._connection.sock, self._target.arrival_limit_s)
-        if self._target.asks_alive:
+        if self._target.ack_timeout_s is not None:
+            _set_ack_timeout(self._connection.sock, self._target.ack_timeout_s)
+        if self._target.uses_keepalive:
             _enable_keepalive(self._connection.sock)
         # Without a response the request may be retried at another endpoint. After an ordinary close
         # the system would keep retransmitting it, and deliver it here too once a cut link is back.
@@ -164,10 +164,10 @@
         # The library sets this timeout on the socket again before it reads.
         self._connection.timeout = None
         # Called twice: the process may be paused in between, and the bytes are sent after that.
-        request.on_leaving()
+        request.on_send()
         self._attempt.enter(attempts.Phase.SENT)
         self._send_request(request)
-        request.on_leaving()
+        request.on_send()
         sock = self._connection.sock
         response = self._connection.getresponse()
         _set_linger(sock, _FLUSH_AFTER_CLOSE)
@@ -214,9 +214,9 @@
         try:
             return self.response.read1(size_bytes)
         except TRANSPORT_ERRORS as failure:
-            raise self.failed(failure) from failure
+            raise self.error_for(failure) from failure
 
-    def failed(self, failure: Exception) -> errors.CroftpulleyError:
+    def error_for(self, failure: Exception) -> errors.CroftpulleyError:
         """Return the error for a failed exchange and mark the attempt's end as ambiguous.
 
         Its code is the reason of a cancellation, else follows from the attempt's phase.
@@ -283,7 +283,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
 
 
-def whole(
+def send_and_read(
     target: Target,
     request: HttpRequest,
     failures: FailureCodes,
@@ -302,6 +302,6 @@
         try:
             return response, response.read()
         except TRANSPORT_ERRORS as failure:
-            raise exchange.failed(failure) from failure
+            raise exchange.error_for(failure) from failure
     finally:
         exchange.close()
--- a/src/croftpulley/endpoints/dialing.py
+++ b/src/croftpulley/endpoints/dialing.py
@@ -22,7 +22,7 @@
         """Connect within the connection's timeout; raises urllib3's exceptions."""
 
     @abc.abstractmethod
-    def listens(self, address: str, timeout_s: float) -> bool | None:
+    def is_listening(self, address: str, timeout_s: float) -> bool | None:
         """Probe an address by connecting and closing.
 
         Return ``False`` if the connection is refused: the process has ended. Any other failure
@@ -30,9 +30,11 @@
         connection.
         """
 
-    def first_to_listen(self, addresses: Sequence[str], timeout_s: float) -> str | None:
+    def first_listening(self, addresses: Sequence[str], timeout_s: float) -> str | None:
         """Probe all addresses at once; return the first at which a process listens, if any."""
-        return first_that(lambda address: bool(self.listens(address, timeout_s)), addresses)
+        return first_matching(
+            lambda address: bool(self.is_listening(address, timeout_s)), addresses
+        )
 
 
 class DirectDialer(Dialer):
@@ -42,7 +44,7 @@
         """Connect."""
         connection.connect()
 
-    def listens(self, address: str, timeout_s: float) -> bool | None:
+    def is_listening(self, address: str, timeout_s: float) -> bool | None:
         """Probe an address by connecting and closing."""
         host, _, port = address.rpartition(":")
         try:
@@ -57,7 +59,7 @@
 DIRECT = DirectDialer()
 
 
-def first_that(predicate: Callable[[Item], bool], items: Sequence[Item]) -> Item | None:
+def first_matching(predicate: Callable[[Item], bool], items: Sequence[Item]) -> Item | None:
     """Evaluate all items at once, each in a thread; return the first that matches, if any.
 
     Waits for the others only until one matches.
--- a/src/croftpulley/endpoints/event_stream.py
+++ b/src/croftpulley/endpoints/event_stream.py
@@ -34,7 +34,7 @@
         while data := self._exchange.read(_READ_SIZE_BYTES):
             *events, self._incomplete = (self._incomplete + data).split(_EVENT_END)
             if len(self._incomplete) > _EVENT_LIMIT_BYTES:
-                raise self._exchange.failed(ValueError("an event is larger than the limit"))
+                raise self._exchange.error_for(ValueError("an event is larger than the limit"))
             if events:
                 yield tuple(self._decode(event) for event in events)
 
@@ -42,36 +42,36 @@
         try:
             return self._parse(orjson.loads(event.removeprefix(_DATA_PREFIX)))
         except (ValueError, KeyError, TypeError) as failure:
-            raise self._exchange.failed(ValueError(f"malformed event: {failure}")) from failure
+            raise self._exchange.error_for(ValueError(f"malformed event: {failure}")) from failure
 
 
-def encode(document: Any) -> bytes:
+def encode_event(document: Any) -> bytes:
     """Encode a document as one server-sent event."""
     return b"data: %b\n\n" % orjson.dumps(document)
 
 
-def parse(fields: dict[str, Any]) -> messages.StreamEvent:
+def parse_stream_event(fields: dict[str, Any]) -> messages.StreamEvent:
     """Parse a text or end event; raises `ValueError`, `KeyError` or `TypeError`."""
     if "text" in fields:
-        return assembly.Chunk(count(fields["offset"]), text(fields["text"]))
+        return assembly.Chunk(parse_count(fields["offset"]), parse_text(fields["text"]))
     end = fields["end"]
     return messages.Finished(
-        finish_reason=text(end["finish_reason"]),
-        total_chars=count(end["total_chars"]),
-        prompt_tokens=count(end["prompt_tokens"]),
-        cached_tokens=count(end["cached_tokens"]),
-        completion_tokens=count(end["completion_tokens"]),
+        finish_reason=parse_text(end["finish_reason"]),
+        total_chars=parse_count(end["total_chars"]),
+        prompt_tokens=parse_count(end["prompt_tokens"]),
+        cached_tokens=parse_count(end["cached_tokens"]),
+        completion_tokens=parse_count(end["completion_tokens"]),
     )
 
 
-def count(value: Any) -> int:
+def parse_count(value: Any) -> int:
     """Return a value that is a non-negative integer; raises `ValueError` for any other."""
     if type(value) is not int or value < 0:
         raise ValueError(f"got {value!r}, expected a count")
     return value
 
 
-def text(value: Any) -> str:
+def parse_text(value: Any) -> str:
     """Return a value that is a string; raises `ValueError` for any other."""
     if type(value) is not str:
         raise ValueError(f"got {value!r}, expected text")
--- a/src/croftpulley/endpoints/http_engine.py
+++ b/src/croftpulley/endpoints/http_engine.py
@@ -53,7 +53,7 @@
         self.notice = notice
         self._exchange = exchange
         self._attempt = attempt
-        self._reader = event_stream.EventReader(exchange, event_stream.parse)
+        self._reader = event_stream.EventReader(exchange, event_stream.parse_stream_event)
 
     def batches(self) -> Iterator[base.EventBatch]:
         """Yield the events of each read."""
@@ -63,7 +63,7 @@
                 yield batch
                 return
             yield batch
-        raise self._exchange.failed(EOFError("the stream ended before its end event"))
+        raise self._exchange.error_for(EOFError("the stream ended before its end event"))
 
     def shutdown(self) -> None:
         """End `batches` from another thread."""
@@ -108,16 +108,19 @@
         """Tell the engine to stop an attempt."""
         body = orjson.dumps({"request_id": request_id, "attempt": attempt})
         request = connection.HttpRequest("POST", "/v1/cancel", body)
-        connection.whole(self._target(address), request, connection.ENGINE_FAILURES)
+        connection.send_and_read(self._target(address), request, connection.ENGINE_FAILURES)
 
     def load(self, address: str) -> base.LoadReport:
         """Fetch the engine's load report."""
         request = connection.HttpRequest("GET", "/v1/load")
-        _, body = connection.whole(self._target(address), request, connection.ENGINE_FAILURES)
+        _, body = connection.send_and_read(
+            self._target(address), request, connection.ENGINE_FAILURES
+        )
         try:
             fields = orjson.loads(body)
             return base.LoadReport(
-                event_stream.count(fields["running"]), event_stream.count(fields["slots"])
+                event_stream.parse_count(fields["running"]),
+                event_stream.parse_count(fields["slots"]),
             )
         except (ValueError, KeyError, TypeError) as failure:
             raise errors.CroftpulleyError(
--- a/src/croftpulley/endpoints/http_platform.py
+++ b/src/croftpulley/endpoints/http_platform.py
@@ -21,10 +21,10 @@
     def __init__(self, address: str, timeout_s: float) -> None:
         self._target = connection.Target(address, timeout_s, timeout_s)
 
-    def read(self) -> lists.Reading:
+    def read(self) -> lists.ListSnapshot:
         """Read the list; raises `errors.CroftpulleyError` if it cannot be read as a whole."""
         request = connection.HttpRequest("GET", "/v1/endpoints")
-        response, body = connection.whole(self._target, request, connection.ENGINE_FAILURES)
+        response, body = connection.send_and_read(self._target, request, connection.ENGINE_FAILURES)
         lists.check_readable(response, request.path)
         try:
             document = orjson.loads(body)
@@ -32,7 +32,7 @@
             raise self._malformed(str(failure)) from failure
         if not isinstance(document, list):
             raise self._malformed("got no list")
-        return lists.Reading.of([_decode_entry(entry) for entry in document])
+        return lists.ListSnapshot.from_entries([_decode_entry(entry) for entry in document])
 
     def _malformed(self, problem: str) -> errors.CroftpulleyError:
         return errors.CroftpulleyError(
@@ -40,21 +40,21 @@
         )
 
 
-def _decode_entry(entry: Any) -> membership.Endpoint | lists.Spoiled:
+def _decode_entry(entry: Any) -> membership.Endpoint | lists.InvalidEntry:
     """Return the endpoint that an entry describes, or why the entry is invalid."""
     if not isinstance(entry, dict):
         return lists.not_an_object(entry)
     for name in _STRING_FIELDS:
         value = entry.get(name)
         if not isinstance(value, str):
-            return lists.wrong_field(name, value, "a string")
+            return lists.invalid_field(name, value, "a string")
     version = entry.get("version")
     if version is not None and not isinstance(version, str):
-        return lists.wrong_field("version", version, "a string")
+        return lists.invalid_field("version", version, "a string")
     born_ms = entry.get("born_ms")
     if born_ms is not None and type(born_ms) is not int:
-        return lists.wrong_field("born_ms", born_ms, "a whole number")
+        return lists.invalid_field("born_ms", born_ms, "a whole number")
     try:
         return _CONVERTER.structure(entry, membership.Endpoint)
     except (ValueError, cattrs.BaseValidationError) as failure:
-        return lists.Spoiled(lists.Defect.FIELD_TYPE, str(failure))
+        return lists.InvalidEntry(lists.Defect.FIELD_TYPE, str(failure))
--- a/src/croftpulley/endpoints/http_worker.py
+++ b/src/croftpulley/endpoints/http_worker.py
@@ -32,7 +32,7 @@
         )
         request = connection.HttpRequest("POST", path, call.body, call.content_type, headers)
         target = connection.Target(address, self._connect_timeout_s, timeout_s)
-        response, body = connection.whole(
+        response, body = connection.send_and_read(
             target, request, connection.WORKER_FAILURES, attempt, token
         )
         attempt.enter(attempts.Phase.DONE)
--- a/src/croftpulley/endpoints/lists.py
+++ b/src/croftpulley/endpoints/lists.py
@@ -33,7 +33,7 @@
     """It lacks the endpoint's start time, which other entries of the list have."""
 
 
-class NotNowError(errors.CroftpulleyError):
+class RetryLaterError(errors.CroftpulleyError):
     """The platform asks to read the list later; ``wait_s`` is how long to wait, 0 if unknown."""
 
     def __init__(self, detail: str, wait_s: float = 0.0) -> None:
@@ -48,11 +48,11 @@
     headers = response.headers
     value = headers.get("Retry-After", "")
     wait_s = withdrawal.parse_retry_after(value, headers.get("Date", ""), time.time())
-    raise NotNowError(f"{path}: got status {response.status}", wait_s or 0.0)
+    raise RetryLaterError(f"{path}: got status {response.status}", wait_s or 0.0)
 
 
 @attrs.frozen
-class Spoiled:
+class InvalidEntry:
     """An invalid entry: the kind of defect, and a description of the problem."""
 
     defect: Defect
@@ -60,64 +60,64 @@
 
 
 @attrs.frozen
-class Reading:
+class ListSnapshot:
     """The list as read once; an invalid entry does not affect the others.
 
     ``cold_remaining_s`` maps endpoints' keys to the seconds for which they are still cold.
     """
 
     endpoints: tuple[membership.Endpoint, ...] = ()
-    spoiled: tuple[Spoiled, ...] = ()
-    cold_left_s: dict[str, float] = attrs.field(factory=dict)
+    invalid_entries: tuple[InvalidEntry, ...] = ()
+    cold_remaining_s: dict[str, float] = attrs.field(factory=dict)
 
     @classmethod
-    def of(cls, decoded: Iterable[membership.Endpoint | Spoiled]) -> Reading:
+    def from_entries(cls, decoded: Iterable[membership.Endpoint | InvalidEntry]) -> ListSnapshot:
         """Create it from decoded entries in the order of the list."""
         endpoints: list[membership.Endpoint] = []
-        spoiled: list[Spoiled] = []
+        spoiled: list[InvalidEntry] = []
         for each in decoded:
-            if isinstance(each, Spoiled):
+            if isinstance(each, InvalidEntry):
                 spoiled.append(each)
             else:
                 endpoints.append(each)
         return cls(tuple(endpoints), tuple(spoiled))
 
-    def defects(self) -> dict[str, int]:
+    def count_defects(self) -> dict[str, int]:
         """Return the number of invalid entries by defect."""
-        return dict(collections.Counter(each.defect.value for each in self.spoiled))
+        return dict(collections.Counter(each.defect.value for each in self.invalid_entries))
 
 
-def not_an_object(value: Any) -> Spoiled:
+def not_an_object(value: Any) -> InvalidEntry:
     """Return the invalid entry for a value that is no JSON object."""
-    return Spoiled(Defect.NOT_AN_OBJECT, f"got {value!r:.100}, expected an object")
+    return InvalidEntry(Defect.NOT_AN_OBJECT, f"got {value!r:.100}, expected an object")
 
 
-def wrong_field(name: str, value: Any, expected: str) -> Spoiled:
+def invalid_field(name: str, value: Any, expected: str) -> InvalidEntry:
     """Return the invalid entry for a field that is missing or has the wrong type."""
     if value is None:
-        return Spoiled(Defect.FIELD_MISSING, f"{name}: missing")
-    return Spoiled(Defect.FIELD_TYPE, f"{name}: got {value!r:.100}, expected {expected}")
+        return InvalidEntry(Defect.FIELD_MISSING, f"{name}: missing")
+    return InvalidEntry(Defect.FIELD_TYPE, f"{name}: got {value!r:.100}, expected {expected}")
 
 
-LONGEST_COLD_S = 60.0
+MAX_COLD_S = 60.0
 """No endpoint is cold for longer: a longer time is a fault of the platform's entry, and the list
 is read again anyway."""
 
 
-def cold_left_s(told_s: float) -> float:
+def clamp_cold_s(reported_s: float) -> float:
     """Return the seconds for which an endpoint is cold by its entry, from 0 to the limit.
 
     Any float is accepted; NaN counts as 0.
 
-    >>> [cold_left_s(told_s) for told_s in (-1, 0.5, 1e300, float("nan"))]
+    >>> [clamp_cold_s(reported_s) for reported_s in (-1, 0.5, 1e300, float("nan"))]
     [0.0, 0.5, 60.0, 0.0]
     """
-    return min(told_s, LONGEST_COLD_S) if told_s > 0 else 0.0
+    return min(reported_s, MAX_COLD_S) if reported_s > 0 else 0.0
 
 
 class PlatformList(abc.ABC):
     """The platform's list of live endpoints and those shutting down; it may be out of date."""
 
     @abc.abstractmethod
-    def read(self) -> Reading:
+    def read(self) -> ListSnapshot:
         """Read the list; raises `errors.CroftpulleyError` if it cannot be read as a whole."""
--- a/src/croftpulley/fakes/engine.py
+++ b/src/croftpulley/fakes/engine.py
@@ -165,7 +165,7 @@
             "cached_tokens": cached,
             "completion_tokens": len(words),
         }
-        await connection.send(event_stream.encode({"end": end}))
+        await connection.send(event_stream.encode_event({"end": end}))
         self._keep(body["chat_key"], prompt + len(words))
 
     async def _before_answer(
--- a/src/croftpulley/fakes/engine_events.py
+++ b/src/croftpulley/fakes/engine_events.py
@@ -19,7 +19,7 @@
         if end_chars > resume_offset_chars:
             start = max(offset_chars, resume_offset_chars)
             text = word[start - offset_chars :]
-            events.append(event_stream.encode({"offset": start, "text": text}))
+            events.append(event_stream.encode_event({"offset": start, "text": text}))
         offset_chars = end_chars
     return events
 
@@ -39,4 +39,6 @@
 
 def _joined(pair: tuple[bytes, bytes]) -> bytes:
     first, second = (orjson.loads(event.removeprefix(b"data: ")) for event in pair)
-    return event_stream.encode({"offset": first["offset"], "text": first["text"] + second["text"]})
+    return event_stream.encode_event(
+        {"offset": first["offset"], "text": first["text"] + second["text"]}
+    )
--- a/src/croftpulley/filters/base.py
+++ b/src/croftpulley/filters/base.py
@@ -106,7 +106,7 @@
 
 
 @attrs.frozen
-class WholeReply:
+class CompleteReply:
     """A reply whose body is complete before it is sent."""
 
     http_status: int
@@ -132,7 +132,7 @@
 
 
 @attrs.frozen
-class AnswerReply:
+class StreamedReply:
     """A chat's response as it arrives; its reader must close the exchange's ``at_end``."""
 
     parts: Iterator[TextPart | EndPart]
@@ -150,7 +150,7 @@
     path: str
 
 
-Reply = WholeReply | AnswerReply | AttemptReply
+Reply = CompleteReply | StreamedReply | AttemptReply
 Proceed = Callable[[Exchange], Reply]
 
 
--- a/src/croftpulley/filters/call.py
+++ b/src/croftpulley/filters/call.py
@@ -45,7 +45,7 @@
                 if exchange.token.reason is not None or not _may_retry(call, attempt):
                     break
                 continue
-            return base.WholeReply(answer.http_status, answer.content_type, answer.body)
+            return base.CompleteReply(answer.http_status, answer.content_type, answer.body)
         raise failure
 
 
--- a/src/croftpulley/filters/claim.py
+++ b/src/croftpulley/filters/claim.py
@@ -56,7 +56,7 @@
             else:
                 _emit(events.Event.CALL_OUTCOME_UNKNOWN, exchange)
             raise
-        if isinstance(reply, base.WholeReply):
+        if isinstance(reply, base.CompleteReply):
             outcome = claims.Outcome(
                 codes.RunState.RAN, reply.http_status, reply.content_type, reply.body
             )
@@ -96,7 +96,7 @@
             codes.ResultCode.OUTCOME_UNKNOWN, run_state=codes.RunState.UNKNOWN
         )
     outcome = answer.outcome
-    return base.WholeReply(outcome.http_status, outcome.content_type, outcome.body)
+    return base.CompleteReply(outcome.http_status, outcome.content_type, outcome.body)
 
 
 def _emit(event: events.Event, exchange: base.Exchange) -> None:
--- a/src/croftpulley/filters/observe.py
+++ b/src/croftpulley/filters/observe.py
@@ -27,8 +27,8 @@
         except errors.CroftpulleyError as failure:
             self._record_end(exchange, failure.code)
             raise
-        if isinstance(reply, base.AnswerReply):
-            return base.AnswerReply(self._observe_parts(exchange, reply.parts))
+        if isinstance(reply, base.StreamedReply):
+            return base.StreamedReply(self._observe_parts(exchange, reply.parts))
         self._record_end(exchange, codes.ResultCode.OK)
         return reply
 
--- a/src/croftpulley/filters/relay.py
+++ b/src/croftpulley/filters/relay.py
@@ -42,7 +42,7 @@
         parts = self._parts(exchange, proceed)
         exchange.at_end.callback(parts.close)  # type: ignore[attr-defined]
         first = next(parts)
-        return base.AnswerReply(itertools.chain([first], parts))
+        return base.StreamedReply(itertools.chain([first], parts))
 
     def _parts(
         self, exchange: base.Exchange, proceed: base.Proceed
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -162,7 +162,7 @@
             min(CONNECT_TIMEOUT_S, left_s),
             self._silence_timeout_s,
             KEEPALIVE_TIMEOUT_S,
-            asks_alive=True,
+            uses_keepalive=True,
         )
         link = connection.Exchange(target, hop_attempt, exchange.token, connection.PEER_FAILURES)
         outgoing = connection.HttpRequest(
--- a/src/croftpulley/forwarding/sender.py
+++ b/src/croftpulley/forwarding/sender.py
@@ -32,7 +32,7 @@
     headers: dict[str, str]
     body: bytes
     arrival_limit_s: float | None = None
-    on_leaving: Callable[[], None] = connection.do_nothing
+    on_leaving: Callable[[], None] = connection.no_op
 
 
 class Response(abc.ABC):
@@ -110,7 +110,7 @@
             request.body or None,
             None,
             request.headers,
-            on_leaving=request.on_leaving,
+            on_send=request.on_leaving,
         )
         return send_request(exchange, http_request, attempt)
 
--- a/src/croftpulley/forwarding/steer.py
+++ b/src/croftpulley/forwarding/steer.py
@@ -39,13 +39,13 @@
         if exchange.state.tables.arms.is_empty:
             return built_in
         request = self._request(exchange)
-        arm = exchange.state.tables.arms.of(request.key)
+        arm = exchange.state.tables.arms.arm_for(request.key)
         if arm is None:
             return built_in
         exchange.arm = arm.name
         try:
             self._admit(exchange, arm, request, candidates, most_held_tokens)
-            arm_choice = arms.chosen(arm, request, candidates, most_held_tokens)
+            arm_choice = arms.choose_endpoint(arm, request, candidates, most_held_tokens)
         except language.ProgramError as failure:
             self._record_failure(exchange, failure)
             arm_choice = None
@@ -68,7 +68,7 @@
         """Raise ARM_REFUSED if the arm rejects a request that was not sent to any endpoint yet."""
         if exchange.attempts.attempts:
             return
-        wait_s = arms.wait_s(arm, request, candidates, most_held_tokens)
+        wait_s = arms.wait_before_retry_s(arm, request, candidates, most_held_tokens)
         if wait_s <= 0:
             return
         self._counters.arm_decision(arm.name, "refused")
--- a/src/croftpulley/http/caller_app.py
+++ b/src/croftpulley/http/caller_app.py
@@ -78,7 +78,7 @@
     def _chat(self, request: wsgi.Request) -> wsgi.Response:
         exchange = self._exchange(request, None)
         reply = self._run(self._chat_chain, exchange)
-        if not isinstance(reply, base.AnswerReply) or exchange.chat is None:
+        if not isinstance(reply, base.StreamedReply) or exchange.chat is None:
             raise RuntimeError(f"the chat chain gave {type(reply).__name__}")
         shape = completions.Shape(
             answer_id=f"chatcmpl-{exchange.request.request_id}",
@@ -103,7 +103,7 @@
             )
         exchange = self._exchange(request, base.ServiceCall(service=service, call=call))
         reply = self._finish(exchange, lambda: self._run(self._service_chain, exchange))
-        if not isinstance(reply, base.WholeReply):
+        if not isinstance(reply, base.CompleteReply):
             raise RuntimeError(f"the service chain gave {type(reply).__name__}")
         headers = (
             ("X-Request-Id", exchange.request.request_id),
--- a/src/croftpulley/interfaces/operators.py
+++ b/src/croftpulley/interfaces/operators.py
@@ -47,7 +47,7 @@
 
     def cache_reader(self) -> caches.CacheReader:
         """Return a reader of nothing: the fleet's own engines do not tell what they keep."""
-        return caches.NoCaches()
+        return caches.NoCacheReader()
 
     def operator(self, plane: control_plane.ControlPlane, address: str) -> wsgi.Handler:
         """Make the handler of ``/v1/config`` and ``/v1/status``."""
--- a/src/croftpulley/platform/caches.py
+++ b/src/croftpulley/platform/caches.py
@@ -18,11 +18,11 @@
 class EngineCaches(caches.CacheReader):
     """Reads ``GET /kv-list``."""
 
-    def read(self, engine: membership.Endpoint) -> tuple[caches.KeptPart, ...]:
+    def read(self, engine: membership.Endpoint) -> tuple[caches.CachedPart, ...]:
         """Read what is kept for any model; rows that cannot be read are left out."""
         target = connection.Target(engine.address, _TIMEOUT_S, _TIMEOUT_S)
         request = connection.HttpRequest("GET", _PATH)
-        response, body = connection.whole(target, request, connection.ENGINE_FAILURES)
+        response, body = connection.send_and_read(target, request, connection.ENGINE_FAILURES)
         where = f"{engine.address}{_PATH}"
         if response.status != 200:
             raise errors.CroftpulleyError(
@@ -39,9 +39,9 @@
         return tuple(part for part in parts if part is not None)
 
 
-def _part(row: Any) -> caches.KeptPart | None:
+def _part(row: Any) -> caches.CachedPart | None:
     """Return the part of a row: an empty text, the part's id, the tokens kept of it, the model."""
     match row:
         case [_, str(part), int(tokens), *_] if part and type(tokens) is int and tokens >= 0:
-            return caches.KeptPart(part=part, tokens=tokens)
+            return caches.CachedPart(part_id=part, tokens=tokens)
     return None
--- a/src/croftpulley/platform/demo.py
+++ b/src/croftpulley/platform/demo.py
@@ -166,7 +166,7 @@
     target = connection.Target(f"{machines()[0].ip_address}:{_DIRECTORY_PORT}", 1.0, 1.0)
     request = connection.HttpRequest("GET", f"/resolution?{query}")
     try:
-        response, body = connection.whole(target, request, connection.PEER_FAILURES)
+        response, body = connection.send_and_read(target, request, connection.PEER_FAILURES)
     except errors.CroftpulleyError:
         # Its process is still starting.
         return []
@@ -186,7 +186,7 @@
     }
     target = connection.Target(addresses[number % len(addresses)], 1.0, 5.0)
     request = connection.HttpRequest("POST", path, b"body", None, headers)
-    response, body = connection.whole(target, request, connection.PEER_FAILURES)
+    response, body = connection.send_and_read(target, request, connection.PEER_FAILURES)
     is_stream = path.startswith("/stream")
     expected = body.count(b"data:") == forwarded.EVENTS if is_stream else body.startswith(b"ran ")
     return "whole" if response.status == 200 and expected else f"status {response.status}"
--- a/src/croftpulley/platform/instances.py
+++ b/src/croftpulley/platform/instances.py
@@ -63,7 +63,7 @@
         self._target = connection.Target(address, _TIMEOUT_S, _TIMEOUT_S)
         self._tells_starts = False
 
-    def read(self) -> lists.Reading:
+    def read(self) -> lists.ListSnapshot:
         """Read all pages; raises `errors.CroftpulleyError`."""
         for _ in range(_MOST_STARTS - 1):
             try:
@@ -94,27 +94,27 @@
     def _page(self, token: str) -> entries.Entries:
         path = f"{_PATH}?{urllib.parse.urlencode({'pageToken': token})}" if token else _PATH
         request = connection.HttpRequest("GET", path)
-        response, body = connection.whole(self._target, request, connection.ENGINE_FAILURES)
+        response, body = connection.send_and_read(self._target, request, connection.ENGINE_FAILURES)
         lists.check_readable(response, path)
         if response.status != 200:
             kind = _PageRefusedError if token and response.status < 429 else errors.CroftpulleyError
             raise kind(codes.ResultCode.ENGINE_REFUSED, f"{path}: got status {response.status}")
         return entries.parse(body, "instances")
 
-    def _decoded(self, values: list[Any]) -> lists.Reading:
+    def _decoded(self, values: list[Any]) -> lists.ListSnapshot:
         self._tells_starts = self._tells_starts or any(_tells_start(each) for each in values)
         return decode(values, self._tells_starts)
 
 
-def decode(values: list[Any], needs_start: bool) -> lists.Reading:
+def decode(values: list[Any], needs_start: bool) -> lists.ListSnapshot:
     """Decode entries; with ``needs_start`` one that lacks the time of its start is spoiled."""
     decoded = [_decode(each, needs_start) for each in values]
     cold_left_s = {
-        each.key: lists.cold_left_s(value["coldRemainingMs"] / 1000)
+        each.key: lists.clamp_cold_s(value["coldRemainingMs"] / 1000)
         for value, each in zip(values, decoded, strict=True)
         if isinstance(each, membership.Endpoint) and value["coldRemainingMs"] > 0
     }
-    return attrs.evolve(lists.Reading.of(decoded), cold_left_s=cold_left_s)
+    return attrs.evolve(lists.ListSnapshot.from_entries(decoded), cold_remaining_s=cold_left_s)
 
 
 def _tells_start(value: Any) -> bool:
@@ -126,10 +126,10 @@
     return _ADDRESS(text) is not None
 
 
-def _decode(value: Any, needs_start: bool) -> membership.Endpoint | lists.Spoiled:
+def _decode(value: Any, needs_start: bool) -> membership.Endpoint | lists.InvalidEntry:
     """Return the endpoint that an entry names, or why it names none."""
     if value is entries.UNREADABLE:
-        return lists.Spoiled(lists.Defect.UNREADABLE, "got bytes that are no JSON in UTF-8")
+        return lists.InvalidEntry(lists.Defect.UNREADABLE, "got bytes that are no JSON in UTF-8")
     if not isinstance(value, dict):
         return lists.not_an_object(value)
     spoiled = None if _is_sound(value) else _spoiled_fields(value)
@@ -176,38 +176,38 @@
     return is_typed and entry["state"] in _STATES and _is_address(entry["address"])
 
 
-def _spoiled_fields(entry: dict[str, Any]) -> lists.Spoiled | None:
+def _spoiled_fields(entry: dict[str, Any]) -> lists.InvalidEntry | None:
     """Return what is wrong with the fields that every entry has."""
     for name in _TEXTS:
         value = entry.get(name)
         if type(value) is not str or not value:
-            return lists.wrong_field(name, value, "a string that is not empty")
+            return lists.invalid_field(name, value, "a string that is not empty")
     for name in _NUMBERS:
         value = entry.get(name)
         if type(value) is not int and type(value) is not float:
-            return lists.wrong_field(name, value, "a number")
+            return lists.invalid_field(name, value, "a number")
     if entry["state"] not in _STATES:
         problem = f"state: got {entry['state']!r:.100}, expected one of {', '.join(_STATES)}"
-        return lists.Spoiled(lists.Defect.UNKNOWN_STATE, problem)
+        return lists.InvalidEntry(lists.Defect.UNKNOWN_STATE, problem)
     if not _is_address(entry["address"]):
         problem = f"address: got {entry['address']!r:.100}, expected an IP number and a port"
-        return lists.Spoiled(lists.Defect.BAD_ADDRESS, problem)
+        return lists.InvalidEntry(lists.Defect.BAD_ADDRESS, problem)
     return None
 
 
-def _spoiled_rest(entry: dict[str, Any], needs_start: bool) -> lists.Spoiled | None:
+def _spoiled_rest(entry: dict[str, Any], needs_start: bool) -> lists.InvalidEntry | None:
     """Return what is wrong with the fields that only some entries have."""
     stage = entry.get("stage")
     if stage is not None and type(stage) is not str:
-        return lists.wrong_field("stage", stage, "a string")
+        return lists.invalid_field("stage", stage, "a string")
     born_ms = entry.get(names.BORN)
     if born_ms is None:
         if not needs_start:
             return None
-        return lists.Spoiled(lists.Defect.NO_START_TIME, f"{names.BORN}: missing")
+        return lists.InvalidEntry(lists.Defect.NO_START_TIME, f"{names.BORN}: missing")
     if type(born_ms) is int and _OLDEST_BORN_MS <= born_ms <= _LATEST_BORN_MS:
         return None
-    return lists.wrong_field(names.BORN, born_ms, "a whole number of ms")
+    return lists.invalid_field(names.BORN, born_ms, "a whole number of ms")
 
 
 def _broken(problem: str) -> errors.CroftpulleyError:
--- a/src/croftpulley/platform/stand_ins.py
+++ b/src/croftpulley/platform/stand_ins.py
@@ -173,7 +173,7 @@
     def _ask_one(address: str, request: connection.HttpRequest, asked: int) -> OperatorAnswer:
         target = connection.Target(address, 1.0, 5.0)
         try:
-            response, data = connection.whole(target, request, connection.PEER_FAILURES)
+            response, data = connection.send_and_read(target, request, connection.PEER_FAILURES)
         except errors.CroftpulleyError:
             # A box that is down: the next one is asked.
             return OperatorAnswer(0, b"", asked)
--- a/src/croftpulley/policy/arms.py
+++ b/src/croftpulley/policy/arms.py
@@ -14,7 +14,7 @@
 from croftpulley.core import rendezvous, selection
 from croftpulley.policy import language
 
-REQUEST_NAMES = (
+REQUEST_VARIABLES = (
     "prompt_tokens",
     "shared_tokens",
     "priority",
@@ -25,8 +25,8 @@
     "most_held_tokens",
 )
 """Variables of an ``admit`` program: the request and the endpoints that may serve it."""
-CANDIDATE_NAMES = (
-    *REQUEST_NAMES,
+CANDIDATE_VARIABLES = (
+    *REQUEST_VARIABLES,
     "load",
     "reading_tokens",
     "held_tokens",
@@ -57,9 +57,9 @@
 class Arms:
     """The arms of one configuration.
 
-    >>> Arms((Arm(name="a"), Arm(name="b", weight=0))).of("chat-1").name
+    >>> Arms((Arm(name="a"), Arm(name="b", weight=0))).arm_for("chat-1").name
     'a'
-    >>> Arms(()).of("chat-1") is None
+    >>> Arms(()).arm_for("chat-1") is None
     True
     >>> Arms((Arm(name="a", weight=0),)).is_empty
     True
@@ -74,7 +74,7 @@
         """Tell whether no arm has a weight, so that chats are assigned to none."""
         return not self._total_weight
 
-    def of(self, key: str) -> Arm | None:
+    def arm_for(self, key: str) -> Arm | None:
         """Return the arm of a chat, by a hash of its key; the same at every router."""
         if self.is_empty:
             return None
@@ -101,7 +101,7 @@
     hall: str
 
 
-def wait_s(
+def wait_before_retry_s(
     arm: Arm, request: Request, candidates: Sequence[selection.Candidate], most_held_tokens: int
 ) -> float:
     """Return 0 to admit the request, else after how many seconds the caller should retry.
@@ -114,7 +114,7 @@
     return min(MAX_WAIT_S, max(0.0, wanted_s))
 
 
-def chosen(
+def choose_endpoint(
     arm: Arm, request: Request, candidates: Sequence[selection.Candidate], most_held_tokens: int
 ) -> selection.Candidate | None:
     """Return the endpoint with the lowest score, ``None`` if the arm has no ``score`` program.
--- a/src/croftpulley/settings/fleet.py
+++ b/src/croftpulley/settings/fleet.py
@@ -292,8 +292,8 @@
         name=arm.name,
         weight=arm.weight,
         acts=arm.acts,
-        score=_program("score", arm.score, arms.CANDIDATE_NAMES),
-        admit=_program("admit", arm.admit, arms.REQUEST_NAMES),
+        score=_program("score", arm.score, arms.CANDIDATE_VARIABLES),
+        admit=_program("admit", arm.admit, arms.REQUEST_VARIABLES),
     )
 
 
--- a/testing/controllers/test_inventory.py
+++ b/testing/controllers/test_inventory.py
@@ -44,7 +44,7 @@
         if engine.address == SILENT:
             self.timed_out = not self.test_is_over.wait(SILENCE_S)
             raise errors.CroftpulleyError(codes.ResultCode.ENGINE_UNREACHABLE, engine.address)
-        return (caches.KeptPart("short", 400), caches.KeptPart("long", 9000))
+        return (caches.CachedPart("short", 400), caches.CachedPart("long", 9000))
 
 
 class Sessions:
--- a/testing/controllers/test_listing.py
+++ b/testing/controllers/test_listing.py
@@ -13,7 +13,7 @@
 from croftpulley.endpoints import lists
 from croftpulley.observe import events, metrics
 
-INVALID_ENTRY = lists.Spoiled(lists.Defect.FIELD_TYPE, "zone: got 7")
+INVALID_ENTRY = lists.InvalidEntry(lists.Defect.FIELD_TYPE, "zone: got 7")
 
 
 class Always(listing.Turn):
@@ -27,7 +27,7 @@
     """Returns or raises what the test has set."""
 
     def __init__(self):
-        self.reading = lists.Reading()
+        self.reading = lists.ListSnapshot()
         self.reads = 0
 
     def read(self):
@@ -79,7 +79,7 @@
 ):
     caplog.set_level(logging.INFO)
     for spoiled in ((), (INVALID_ENTRY,), (INVALID_ENTRY,), (INVALID_ENTRY, INVALID_ENTRY), ()):
-        read(lists.Reading((endpoint(1),), spoiled))
+        read(lists.ListSnapshot((endpoint(1),), spoiled))
     lines = logged(caplog, events.Event.PLATFORM_ENTRIES_SPOILED)
     assert [(each.defect, each.entries) for each in lines] == [
         ("field_type", 1),
@@ -90,7 +90,7 @@
 
 
 def test_a_failed_reading_keeps_the_last_list_and_logs_its_age(read, caplog):
-    known = read(lists.Reading((endpoint(1),)))
+    known = read(lists.ListSnapshot((endpoint(1),)))
     assert read(None) is known
     (line,) = logged(caplog, events.Event.PLATFORM_LIST_FAILED)
     assert line.kept_age_s == pytest.approx(0.6)
@@ -98,8 +98,8 @@
 
 def test_a_restart_under_the_same_id_is_a_new_incarnation(read, caplog):
     caplog.set_level(logging.INFO)
-    first = read(lists.Reading((endpoint(1),))).endpoints
-    second = read(lists.Reading((endpoint(2),))).endpoints
+    first = read(lists.ListSnapshot((endpoint(1),))).endpoints
+    second = read(lists.ListSnapshot((endpoint(2),))).endpoints
     assert first.version != second.version
     assert [each.endpoint for each in logged(caplog, events.Event.ENDPOINT_UNLISTED)] == ["w@1"]
 
@@ -108,10 +108,10 @@
 def test_the_wait_that_a_list_asks_for_is_observed_up_to_a_limit(
     read, platform, caplog, asked_s, waited_s
 ):
-    read(lists.NotNowError("429", asked_s))
+    read(lists.RetryLaterError("429", asked_s))
     before = platform.reads
     waited = 0.6
     while platform.reads == before:
-        read(lists.Reading())
+        read(lists.ListSnapshot())
         waited += 0.6
     assert waited_s <= waited - 0.6 < waited_s + 0.6
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -35,7 +35,7 @@
     def dial(self, connection):
         raise NotImplementedError
 
-    def listens(self, address, timeout_s):
+    def is_listening(self, address, timeout_s):
         return address in self.reached
 
 
--- a/testing/cut_links.py
+++ b/testing/cut_links.py
@@ -55,12 +55,12 @@
         connection.connect()
         self.open.append(connection.sock)
 
-    def listens(self, address: str, timeout_s: float) -> bool | None:
+    def is_listening(self, address: str, timeout_s: float) -> bool | None:
         if address in self.answers:
             return True
         cut = self._cut_to(address)
         if cut is Cut.NONE:
-            return dialing.DIRECT.listens(address, timeout_s)
+            return dialing.DIRECT.is_listening(address, timeout_s)
         if cut is Cut.HANGING:
             self._mended.wait(timeout_s)
         return {Cut.REFUSED: False, Cut.HANGING: None, Cut.MUTE: True}[cut]
--- a/testing/endpoints/test_connection.py
+++ b/testing/endpoints/test_connection.py
@@ -44,7 +44,7 @@
         sock = exchange._connection.sock
         seen_ms.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
 
-    request = connection.HttpRequest("GET", "/x", on_leaving=on_leaving)
+    request = connection.HttpRequest("GET", "/x", on_send=on_leaving)
     with pytest.raises(errors.CroftpulleyError):
         exchange.begin(request)
     exchange.close()
@@ -57,7 +57,7 @@
         raise errors.CroftpulleyError(codes.ResultCode.DECLINED)
 
     exchange = exchange_with(listener)
-    request = connection.HttpRequest("POST", "/x", b"body", on_leaving=forbid)
+    request = connection.HttpRequest("POST", "/x", b"body", on_send=forbid)
     with pytest.raises(errors.CroftpulleyError, match="DECLINED"):
         exchange.begin(request)
     assert exchange._attempt.phase is attempts.Phase.UNSENT
--- a/testing/golden/sessions.py
+++ b/testing/golden/sessions.py
@@ -149,7 +149,7 @@
 
     def end(self, order, address, attempt):
         if attempt.phase in (attempts.Phase.SENT, attempts.Phase.ANSWERING):
-            self._cancel_then_leave(order, address)
+            self._cancel_and_release(order, address)
         else:
             super().end(order, address, attempt)
 
--- a/testing/platform/test_caches.py
+++ b/testing/platform/test_caches.py
@@ -10,7 +10,7 @@
 from croftpulley.platform import caches, stand_ins
 from croftpulley.settings import schema
 
-KEPT = own_caches.KeptPart("9c", 800)
+KEPT = own_caches.CachedPart("9c", 800)
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
 
 def test_kept_parts_are_read(engine, read):
     engine.kept = {"5c1e": 800, "91bd": 410}
-    assert read() == (own_caches.KeptPart("5c1e", 800), own_caches.KeptPart("91bd", 410))
+    assert read() == (own_caches.CachedPart("5c1e", 800), own_caches.CachedPart("91bd", 410))
 
 
 def test_a_refusal_is_an_error(engine, read):
--- a/testing/platform/test_instances.py
+++ b/testing/platform/test_instances.py
@@ -50,7 +50,7 @@
 
 
 def defects(fake):
-    return instances.InstanceList(fake.address).read().defects()
+    return instances.InstanceList(fake.address).read().count_defects()
 
 
 def test_all_pages_are_read(fake):
@@ -70,7 +70,7 @@
 def test_a_refusal_says_when_the_list_may_be_read_again(fake, value, wait_s):
     fake.fails = True
     fake.retry_after = value
-    with pytest.raises(lists.NotNowError) as caught:
+    with pytest.raises(lists.RetryLaterError) as caught:
         instances.InstanceList(fake.address).read()
     assert caught.value.wait_s == wait_s
 
@@ -101,7 +101,7 @@
     fake.extra_entries = [spoiled]
     reading = instances.InstanceList(fake.address).read()
     assert reading.endpoints == fake.listed
-    assert reading.defects() == {defect.value: 1}
+    assert reading.count_defects() == {defect.value: 1}
 
 
 @pytest.mark.parametrize("born", [1.5, "1", True, -1, [], 2**60])
@@ -110,7 +110,7 @@
     fake.extra_entries = [orjson.dumps(entry(born=born))]
     reading = instances.InstanceList(fake.address).read()
     assert reading.endpoints == fake.listed
-    assert reading.defects() == {lists.Defect.FIELD_TYPE.value: 1}
+    assert reading.count_defects() == {lists.Defect.FIELD_TYPE.value: 1}
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
     fake.cold_ms = {"w": told_ms}
     reading = instances.InstanceList(fake.address).read()
     assert reading.endpoints == fake.listed
-    assert reading.cold_left_s.get("w") == left_s
+    assert reading.cold_remaining_s.get("w") == left_s
 
 
 @pytest.mark.parametrize("told_ms", ["7", None, True, [], {}])
@@ -130,7 +130,7 @@
     fake.extra_entries = [orjson.dumps({**entry(), "coldRemainingMs": told_ms})]
     reading = instances.InstanceList(fake.address).read()
     assert reading.endpoints == fake.listed
-    assert sum(reading.defects().values()) == 1
+    assert sum(reading.count_defects().values()) == 1
 
 
 def test_an_entry_without_a_start_is_spoiled_once_the_list_tells_starts(fake):
@@ -140,7 +140,7 @@
     fake.listed = (endpoint("w"), endpoint("v", born_ms=1000))
     assert reader.read().endpoints == fake.listed[1:]
     fake.listed = (endpoint("w"),)
-    assert reader.read().defects() == {lists.Defect.NO_START_TIME.value: 1}
+    assert reader.read().count_defects() == {lists.Defect.NO_START_TIME.value: 1}
 
 
 def test_a_list_whose_pages_changed_is_read_from_its_first_page_again(fake):
@@ -185,7 +185,7 @@
     assert len(values) == len(written)
     kept = [each for each in reading.endpoints if each.name in names]
     assert sorted(each.name for each in kept) == sorted(names)
-    assert len(reading.endpoints) + len(reading.spoiled) == len(written)
+    assert len(reading.endpoints) + len(reading.invalid_entries) == len(written)
 
 
 def _spoilt(field, value):
@@ -211,7 +211,7 @@
     body = b'{"instances":[' + b",".join(written) + b"]}"
     reading = instances.decode(entries.parse(body, "instances").values, needs_start=True)
     assert list(reading.endpoints) == sound
-    assert len(reading.spoiled) == 200
+    assert len(reading.invalid_entries) == 200
 
 
 def test_no_entry_is_shared_between_two_lives(fake):
--- a/testing/policy/test_arms.py
+++ b/testing/policy/test_arms.py
@@ -22,7 +22,7 @@
 
 
 def scored(source):
-    return arms.Arm(name="a", score=language.parse(source, arms.CANDIDATE_NAMES))
+    return arms.Arm(name="a", score=language.parse(source, arms.CANDIDATE_VARIABLES))
 
 
 @pytest.mark.parametrize(
@@ -36,18 +36,18 @@
     ],
 )
 def test_the_endpoint_with_the_lowest_score_is_chosen(source, name):
-    assert arms.chosen(scored(source), REQUEST, CANDIDATES, 800).name == name
+    assert arms.choose_endpoint(scored(source), REQUEST, CANDIDATES, 800).name == name
 
 
 def test_ties_are_broken_by_the_chats_rendezvous_order_at_every_router():
     arm = scored("return 0")
-    first = arms.chosen(arm, REQUEST, CANDIDATES, 800)
-    assert arms.chosen(arm, REQUEST, CANDIDATES[::-1], 800) == first
+    first = arms.choose_endpoint(arm, REQUEST, CANDIDATES, 800)
+    assert arms.choose_endpoint(arm, REQUEST, CANDIDATES[::-1], 800) == first
 
 
 def test_an_arm_without_programs_uses_the_built_in_rule():
-    assert arms.chosen(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) is None
-    assert arms.wait_s(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) == 0
+    assert arms.choose_endpoint(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) is None
+    assert arms.wait_before_retry_s(arms.Arm(name="a"), REQUEST, CANDIDATES, 800) == 0
 
 
 @pytest.mark.parametrize(
@@ -55,14 +55,14 @@
     [("return 0", 0), ("return -3", 0), ("return 1.5", 1.5), ("return 9000", 60)],
 )
 def test_an_admit_program_returns_the_wait_before_a_retry_within_limits(source, wait_s):
-    arm = arms.Arm(name="a", admit=language.parse(source, arms.REQUEST_NAMES))
-    assert arms.wait_s(arm, REQUEST, CANDIDATES, 800) == wait_s
+    arm = arms.Arm(name="a", admit=language.parse(source, arms.REQUEST_VARIABLES))
+    assert arms.wait_before_retry_s(arm, REQUEST, CANDIDATES, 800) == wait_s
 
 
 @given(st.lists(st.integers(0, 5), min_size=1, max_size=4).filter(any))
 def test_arms_get_chats_in_proportion_to_their_weights(weights):
     made = arms.Arms(tuple(arms.Arm(name=str(n), weight=w) for n, w in enumerate(weights)))
-    counts = collections.Counter(made.of(f"chat-{n}").name for n in range(2000))
+    counts = collections.Counter(made.arm_for(f"chat-{n}").name for n in range(2000))
     for number, weight in enumerate(weights):
         expected = 2000 * weight / sum(weights)
         assert abs(counts[str(number)] - expected) < 150
--- a/testing/policy/test_language.py
+++ b/testing/policy/test_language.py
@@ -117,5 +117,5 @@
 @pytest.mark.parametrize("name", ["shifa", "glenbothy"])
 def test_the_example_programs_return_a_finite_number(name):
     source = (EXAMPLES / f"{name}.policy").read_text()
-    values = dict.fromkeys(arms.CANDIDATE_NAMES, 1.0)
-    assert math.isfinite(language.parse(source, arms.CANDIDATE_NAMES).run(values))
+    values = dict.fromkeys(arms.CANDIDATE_VARIABLES, 1.0)
+    assert math.isfinite(language.parse(source, arms.CANDIDATE_VARIABLES).run(values))
