--- a/src/croftpulley/bench/origins.py
+++ b/src/croftpulley/bench/origins.py
@@ -58,7 +58,9 @@
 def _messages() -> list[table.Row]:
     rows = []
     for size in _MESSAGE_SIZES:
-        message = box_messages.OriginsTold(streams=tuple(_told(number) for number in range(size)))
+        message = box_messages.OriginAnnouncements(
+            streams=tuple(_told(number) for number in range(size))
+        )
         body = json_codec.encode(message)
         rows += [
             table.Row(f"told_{size}_bytes", len(body)),
@@ -68,12 +70,12 @@
     return rows
 
 
-def _encode(message: box_messages.OriginsTold, _number: int) -> bytes:
+def _encode(message: box_messages.OriginAnnouncements, _number: int) -> bytes:
     return json_codec.encode(message)
 
 
-def _decode(body: bytes, _number: int) -> box_messages.OriginsTold:
-    return json_codec.decode(body, box_messages.OriginsTold)
+def _decode(body: bytes, _number: int) -> box_messages.OriginAnnouncements:
+    return json_codec.decode(body, box_messages.OriginAnnouncements)
 
 
 def _keepers() -> list[table.Row]:
--- a/src/croftpulley/cli/ctl.py
+++ b/src/croftpulley/cli/ctl.py
@@ -114,7 +114,7 @@
 
     Example: croftpulley ctl … config submit fleet.jsonc --operator aigerim --number 7
     """
-    document = loader.read(pathlib.Path(file).read_text(encoding="utf-8"))
+    document = loader.parse_json(pathlib.Path(file).read_text(encoding="utf-8"))
     submission = {"operator": operator, "number": number, "document": document}
     answer = client.ask("POST", _SUBMISSIONS, submission)
     ends_at_s = time.monotonic() + wait_s
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -303,7 +303,7 @@
             each for each in answer.control_addresses if each not in silent
         )
         self._merge_addresses()
-        self._links.keep({*self._addresses, answer.leader_address})
+        self._links.retain({*self._addresses, answer.leader_address})
 
     def _merge_addresses(self) -> None:
         known = (*self._current_addresses, *self._seed_addresses)
--- a/src/croftpulley/controllers/replica.py
+++ b/src/croftpulley/controllers/replica.py
@@ -129,7 +129,7 @@
 
     def on_stop(self) -> None:
         """Close the connections and the log file."""
-        self._senders.keep(set())
+        self._senders.retain(set())
         self._store.close()
 
     def handle(self, message: object) -> object:
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -119,7 +119,7 @@
         Does nothing if no other box holds it; raises `errors.CroftpulleyError` if none took it.
         """
         boxes = self._responsive_first(self._holders.for_stream(announcement.stream, state.boxes))
-        message = box_messages.OriginsTold(streams=(announcement,))
+        message = box_messages.OriginAnnouncements(streams=(announcement,))
         if boxes and not any(self.tell(each, message) for each in boxes):
             raise errors.CroftpulleyError(
                 codes.ResultCode.ORIGIN_UNTOLD,
@@ -150,9 +150,9 @@
     def _ask(
         self, box: membership.Box, stream: origins.StreamId
     ) -> box_messages.OriginAnswer | None:
-        asked = box_messages.OriginAsked(stream=stream)
+        asked = box_messages.OriginQuery(stream=stream)
         try:
-            body = self._post(box, box_messages.ORIGIN_ASKED_PATH, json_codec.encode(asked))
+            body = self._post(box, box_messages.ORIGIN_QUERY_PATH, json_codec.encode(asked))
             return json_codec.decode(body, box_messages.OriginAnswer)
         except errors.CroftpulleyError:
             # The link has counted the failure; the next box is queried.
@@ -201,16 +201,16 @@
             self._origins.remove_expired(self._clock.monotonic_s())
         addresses = {each.peer_address for each in self._view.get().boxes}
         with self._links_lock:
-            self._links.keep(addresses)
+            self._links.retain(addresses)
 
     def has_failed_recently(self, box: membership.Box) -> bool:
         """Tell whether a box failed to answer in the last `BACKOFF_S`."""
         return self._recent_failures.has_failed_recently(box.name, self._clock.monotonic_s())
 
-    def tell(self, box: membership.Box, message: box_messages.OriginsTold) -> bool:
+    def tell(self, box: membership.Box, message: box_messages.OriginAnnouncements) -> bool:
         """Announce streams to another box; return whether it took them."""
         try:
-            self._post(box, box_messages.ORIGINS_TOLD_PATH, json_codec.encode(message))
+            self._post(box, box_messages.ORIGIN_ANNOUNCEMENTS_PATH, json_codec.encode(message))
         except errors.CroftpulleyError:
             # The link has counted the failure; the other holders remember the streams too.
             self._counters.origins_told("lost", len(message.streams))
@@ -307,7 +307,7 @@
                 self._log_unannounced(box, len(announcements) - start)
                 return
             part = tuple(announcements[start : start + MAX_STREAMS_PER_MESSAGE])
-            self._known.tell(box, box_messages.OriginsTold(streams=part))
+            self._known.tell(box, box_messages.OriginAnnouncements(streams=part))
 
     @staticmethod
     def _log_unannounced(box: membership.Box, count: int) -> None:
--- a/src/croftpulley/controllers/suspicion_reports.py
+++ b/src/croftpulley/controllers/suspicion_reports.py
@@ -57,7 +57,7 @@
             return None
         with self._lock:
             link = self._links.to(address)
-            self._links.keep({address})
+            self._links.retain({address})
         try:
             body = link.post(box_messages.TRIALS_PATH, json_codec.encode(request))
         except errors.CroftpulleyError:
@@ -125,7 +125,7 @@
         address = self._view.get().leader_address
         if report.is_empty or not address:
             return
-        self._links.keep({address})
+        self._links.retain({address})
         body = json_codec.encode(box_messages.SuspectReport(report=report))
         try:
             answer = json_codec.decode(
--- a/src/croftpulley/core/tables.py
+++ b/src/croftpulley/core/tables.py
@@ -64,7 +64,7 @@
             for share in route.shares
         )
         """Pools of resumable streams whose route sends requests to several pools."""
-        self.arms = arms.Arms(tuple(fleet.made_arm(arm) for arm in configuration.arms))
+        self.arms = arms.Arms(tuple(fleet.compile_arm(arm) for arm in configuration.arms))
 
     def home_regions_of_host(self, host: str) -> frozenset[str]:
         """Return the home regions of all routes of a host, or an empty set."""
--- a/src/croftpulley/daemons/settings_watch.py
+++ b/src/croftpulley/daemons/settings_watch.py
@@ -73,11 +73,11 @@
         try:
             read = self._read()
         except errors.SettingsErrorGroup as group:
-            _tell(changes.Changes(), "; ".join(str(fault) for fault in group.exceptions))
+            _tell(changes.SettingsChanges(), "; ".join(str(fault) for fault in group.exceptions))
             return
-        found = changes.between(self.in_use, read)
-        if found.at_once:
-            self.in_use = changes.used(self.in_use, read)
+        found = changes.compare(self.in_use, read)
+        if found.applied_at_once:
+            self.in_use = changes.apply_reloadable(self.in_use, read)
             logs.set_level(_level(self.in_use))
             self._apply(self.in_use)
         if found or is_asked:
@@ -97,12 +97,12 @@
     return (status.st_mtime_ns, status.st_size, status.st_ino)
 
 
-def _tell(found: changes.Changes, problem: str = "") -> None:
+def _tell(found: changes.SettingsChanges, problem: str = "") -> None:
     events.emit(
         _LOG,
         events.Event.SETTINGS_CHANGED,
         level=logging.ERROR if problem else logging.INFO,
         problem=problem,
-        used_at_once=list(found.at_once),
-        waits_for_restart=list(found.at_restart),
+        used_at_once=list(found.applied_at_once),
+        waits_for_restart=list(found.need_restart),
     )
--- a/src/croftpulley/dispatch/remote.py
+++ b/src/croftpulley/dispatch/remote.py
@@ -114,7 +114,7 @@
     def _raise_if_broken(self, batch: tuple[messages.DispatchEvent, ...]) -> None:
         """Raise `errors.CroftpulleyError` if the owner reports that the attempt broke off."""
         for event in batch:
-            if isinstance(event, messages.Broken):
+            if isinstance(event, messages.AttemptFailed):
                 self._attempt.set_reported_phase(event.phase)
                 raise errors.CroftpulleyError(
                     self._token.reason or event.code,
--- a/src/croftpulley/dispatch/wire.py
+++ b/src/croftpulley/dispatch/wire.py
@@ -52,7 +52,7 @@
             return {"accepted": True}
         case messages.Refused(code, load):
             return {"refused": {"code": code.value, "load": load}}
-        case messages.Broken(code, phase):
+        case messages.AttemptFailed(code, phase):
             return {"broken": {"code": code.value, "phase": phase.value}}
         case messages.Finished():
             return {"end": attrs.asdict(event)}
@@ -67,5 +67,7 @@
         return messages.Refused(codes.ResultCode(refused["code"]), refused["load"])
     if "broken" in fields:
         broken = fields["broken"]
-        return messages.Broken(codes.ResultCode(broken["code"]), attempts.Phase(broken["phase"]))
+        return messages.AttemptFailed(
+            codes.ResultCode(broken["code"]), attempts.Phase(broken["phase"])
+        )
     return event_stream.parse_stream_event(fields)
--- a/src/croftpulley/http/forward_app.py
+++ b/src/croftpulley/http/forward_app.py
@@ -142,9 +142,9 @@
         if hops.BOX_HEADER in request.headers:
             return self._hop.handle(request)
         match request.path:
-            case box_messages.ORIGINS_TOLD_PATH:
+            case box_messages.ORIGIN_ANNOUNCEMENTS_PATH:
                 body = self._told(request.body)
-            case box_messages.ORIGIN_ASKED_PATH:
+            case box_messages.ORIGIN_QUERY_PATH:
                 body = self._asked(request.body)
             case _:
                 return self._hop.handle(request)
@@ -152,12 +152,12 @@
         return wsgi.Response(200, wsgi.JSON, body)
 
     def _told(self, body: bytes) -> bytes:
-        message = json_codec.decode(body, box_messages.OriginsTold)
+        message = json_codec.decode(body, box_messages.OriginAnnouncements)
         self._known.take(message.streams)
-        return json_codec.encode(box_messages.OriginsTaken())
+        return json_codec.encode(box_messages.OriginAnnouncementsAck())
 
     def _asked(self, body: bytes) -> bytes:
-        message = json_codec.decode(body, box_messages.OriginAsked)
+        message = json_codec.decode(body, box_messages.OriginQuery)
         record = self._known.remembered(message.stream)
         answer = box_messages.OriginAnswer(
             is_known=record is not None, origin=record.origin if record else None
--- a/src/croftpulley/http/operator_app.py
+++ b/src/croftpulley/http/operator_app.py
@@ -127,5 +127,5 @@
             f"got operator {operator!r} and number {number!r}, expected a name and a number from 1",
         )
     document_json = orjson.dumps(document, option=orjson.OPT_SORT_KEYS).decode()
-    formats.OwnFormat().parse(document_json)
+    formats.NativeFormat().parse(document_json)
     return submissions.Submission(operator, number, document_json)
--- a/src/croftpulley/http/peer_app.py
+++ b/src/croftpulley/http/peer_app.py
@@ -66,14 +66,14 @@
             yield (messages.Refused(refusal.code, refusal.load),)
             return
         except errors.CroftpulleyError as failure:
-            yield (messages.Accepted(), messages.Broken(failure.code, attempt.phase))
+            yield (messages.Accepted(), messages.AttemptFailed(failure.code, attempt.phase))
             return
         try:
             yield (messages.Accepted(),)
             for batch in stream.batches():
                 yield merged(batch)
         except errors.CroftpulleyError as failure:
-            yield (messages.Broken(failure.code, attempt.phase),)
+            yield (messages.AttemptFailed(failure.code, attempt.phase),)
         finally:
             stream.close()
 
--- a/src/croftpulley/interfaces/base.py
+++ b/src/croftpulley/interfaces/base.py
@@ -30,7 +30,7 @@
     @property
     def documents(self) -> formats.DocumentFormat:
         """JSON with comments."""
-        return formats.OwnFormat()
+        return formats.NativeFormat()
 
     def endpoint_list(self, address: str) -> lists.PlatformList:
         """Make the reader of ``GET /v1/endpoints``."""
--- a/src/croftpulley/platform/documents.py
+++ b/src/croftpulley/platform/documents.py
@@ -25,7 +25,7 @@
             configuration = _configuration(document)
             fleet.check(configuration)
         except errors.SettingsErrorGroup as group:
-            raise formats.invalid(group) from group
+            raise formats.invalid_configuration(group) from group
         except ValueError as failure:
             raise errors.CroftpulleyError(
                 codes.ResultCode.CONFIGURATION_INVALID, str(failure)
--- a/src/croftpulley/settings/fleet.py
+++ b/src/croftpulley/settings/fleet.py
@@ -280,13 +280,13 @@
             faults.append(errors.SettingsError(path, f"{key}.name", problem))
         names.add(arm.name)
         try:
-            made_arm(arm)
+            compile_arm(arm)
         except language.ProgramError as failure:
             faults.append(errors.SettingsError(path, key, str(failure)))
     return faults
 
 
-def made_arm(arm: Arm) -> arms.Arm:
+def compile_arm(arm: Arm) -> arms.Arm:
     """Compile the programs of an arm; raises `language.ProgramError` for one that is not valid."""
     return arms.Arm(
         name=arm.name,
--- a/src/croftpulley/settings/formats.py
+++ b/src/croftpulley/settings/formats.py
@@ -16,7 +16,7 @@
         """Parse and validate; raises `errors.CroftpulleyError` (CONFIGURATION_INVALID)."""
 
 
-class OwnFormat(DocumentFormat):
+class NativeFormat(DocumentFormat):
     """The native format: the fields of `fleet.FleetConfiguration` as JSON with comments."""
 
     def parse(self, document_json: str) -> fleet.FleetConfiguration:
@@ -24,10 +24,10 @@
         try:
             return fleet.parse(document_json)
         except errors.SettingsErrorGroup as group:
-            raise invalid(group) from group
+            raise invalid_configuration(group) from group
 
 
-def invalid(group: errors.SettingsErrorGroup) -> errors.CroftpulleyError:
+def invalid_configuration(group: errors.SettingsErrorGroup) -> errors.CroftpulleyError:
     """Return one CONFIGURATION_INVALID error that lists every fault of ``group``."""
     faults = "; ".join(str(fault) for fault in group.exceptions)
     return errors.CroftpulleyError(codes.ResultCode.CONFIGURATION_INVALID, faults)
--- a/src/croftpulley/settings/loader.py
+++ b/src/croftpulley/settings/loader.py
@@ -88,14 +88,14 @@
 def parse(text: str, kind: type[T], path: str = "(text)") -> T:
     """Parse ``text`` as ``kind``; errors name ``path`` and are raised as by `load`."""
     try:
-        document = read(text)
+        document = parse_json(text)
     except ValueError as failure:
         fault = errors.SettingsError(path, "(syntax)", str(failure))
         raise errors.SettingsErrorGroup("settings are not valid", [fault]) from failure
     return structure(document, kind, path)
 
 
-def read(text: str) -> Any:
+def parse_json(text: str) -> Any:
     """Parse JSON with or without comments; raises `ValueError`, also for a duplicate key.
 
     The parser that accepts comments is written in Python and takes seconds for a configuration of a
@@ -168,4 +168,4 @@
     return f"{key}.{name}" if key else name
 
 
-__all__ = ["load", "make_converter", "parse", "read", "structure", "unstructure"]
+__all__ = ["load", "make_converter", "parse", "parse_json", "structure", "unstructure"]
--- a/src/croftpulley/transport/box_messages.py
+++ b/src/croftpulley/transport/box_messages.py
@@ -17,8 +17,8 @@
 CONFIGURATION_PARTS_PATH = "/v1/boxes/configuration-parts"
 SUSPECT_REPORTS_PATH = "/v1/suspects/reports"
 TRIALS_PATH = "/v1/suspects/trials"
-ORIGINS_TOLD_PATH = "/v1/streams/told"
-ORIGIN_ASKED_PATH = "/v1/streams/asked"
+ORIGIN_ANNOUNCEMENTS_PATH = "/v1/streams/told"
+ORIGIN_QUERY_PATH = "/v1/streams/asked"
 
 
 @attrs.frozen(kw_only=True)
@@ -156,19 +156,19 @@
 
 
 @attrs.frozen(kw_only=True)
-class OriginsTold:
+class OriginAnnouncements:
     """Announces the origins of streams to an origin holder. Sending it again is safe."""
 
     streams: tuple[origins.OriginAnnouncement, ...]
 
 
 @attrs.frozen(kw_only=True)
-class OriginsTaken:
+class OriginAnnouncementsAck:
     """Confirms that the announced origins are stored."""
 
 
 @attrs.frozen(kw_only=True)
-class OriginAsked:
+class OriginQuery:
     """Asks an origin holder for the origin of a stream."""
 
     stream: origins.StreamId
--- a/src/croftpulley/transport/links.py
+++ b/src/croftpulley/transport/links.py
@@ -17,7 +17,7 @@
 _NO_RETRIES = urllib3.Retry(total=0, redirect=False)
 
 
-def unreachable(address: str, problem: str) -> errors.CroftpulleyError:
+def unreachable_error(address: str, problem: str) -> errors.CroftpulleyError:
     """Return the error for a message without an answer; it may have been processed."""
     return errors.CroftpulleyError(
         codes.ResultCode.CONTROL_UNREACHABLE,
@@ -51,7 +51,7 @@
         except (urllib3.exceptions.HTTPError, OSError) as failure:
             self._counters.control_failed(path)
             problem = f"{path}: {type(failure).__name__}: {failure}"
-            raise unreachable(self.address, problem) from failure
+            raise unreachable_error(self.address, problem) from failure
         self._counters.control_bytes(path, len(body), len(response.data))
         if response.status != 200:
             raise errors.CroftpulleyError(
@@ -84,7 +84,7 @@
             self._links[address] = Link(address, self._timeout_s, self._counters, self._connections)
         return self._links[address]
 
-    def keep(self, addresses: set[str]) -> None:
+    def retain(self, addresses: set[str]) -> None:
         """Close and remove the links to all addresses but these."""
         for address in set(self._links) - addresses:
             self._links.pop(address).close()
--- a/src/croftpulley/transport/messages.py
+++ b/src/croftpulley/transport/messages.py
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Broken:
+class AttemptFailed:
     """The attempt failed; ``phase`` tells how far the engine may have processed the request."""
 
     code: codes.ResultCode
@@ -88,4 +88,4 @@
 
 
 StreamEvent = assembly.Chunk | Finished
-DispatchEvent = Accepted | Refused | Broken | assembly.Chunk | Finished
+DispatchEvent = Accepted | Refused | AttemptFailed | assembly.Chunk | Finished
--- a/src/croftpulley/transport/senders.py
+++ b/src/croftpulley/transport/senders.py
@@ -54,7 +54,7 @@
         except queue.Empty:
             return
         if dropped is not None:
-            dropped.on_failure(links.unreachable(self._link.address, "send queue is full"))
+            dropped.on_failure(links.unreachable_error(self._link.address, "send queue is full"))
 
     def _run(self) -> None:
         while True:
@@ -83,7 +83,7 @@
             self._senders[address] = Sender(links.Link(address, self._timeout_s, self._counters))
         return self._senders[address]
 
-    def keep(self, addresses: set[str]) -> None:
+    def retain(self, addresses: set[str]) -> None:
         """Stop and remove the senders to all addresses but these."""
         for address in set(self._senders) - addresses:
             self._senders.pop(address).send(None)
--- a/testing/controllers/test_configuration_fetch.py
+++ b/testing/controllers/test_configuration_fetch.py
@@ -65,7 +65,7 @@
         assert path == box_messages.CONFIGURATION_PARTS_PATH
         self.requested_from.append(self.address)
         if self.address in self.unreachable:
-            raise links.unreachable(self.address, "connection lost")
+            raise links.unreachable_error(self.address, "connection lost")
         request = json_codec.decode(body, configuration_transfer.ConfigurationRequest)
         return json_codec.encode(self.servers[self.address].answer(request))
 
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -62,7 +62,14 @@
 @pytest.fixture
 def plane(fake_log, view, register):
     return control_plane.ControlPlane(
-        fake_log, view, None, register, formats.OwnFormat(), frozenset(), 1.0, clocks.SystemClock()
+        fake_log,
+        view,
+        None,
+        register,
+        formats.NativeFormat(),
+        frozenset(),
+        1.0,
+        clocks.SystemClock(),
     )
 
 
--- a/testing/daemons/test_large_configurations.py
+++ b/testing/daemons/test_large_configurations.py
@@ -64,9 +64,9 @@
         """Break off what is withheld before it is sent."""
         renews = path == box_messages.RENEWALS_PATH
         if renews and self.silent_box and self.silent_box.encode() in body:
-            raise links.unreachable(link.address, "cut")
+            raise links.unreachable_error(link.address, "cut")
         if path == box_messages.CONFIGURATION_PARTS_PATH and self.withheld:
-            raise links.unreachable(link.address, "cut")
+            raise links.unreachable_error(link.address, "cut")
 
     def pass_on(self, link, path, answer):
         if not path.startswith("/v1/boxes/"):
@@ -75,7 +75,7 @@
         self.longest_bytes = max(self.longest_bytes, len(answer))
         if len(answer) > self.carried_bytes:
             self.broken_off += 1
-            raise links.unreachable(link.address, "broken off at the limit of its time")
+            raise links.unreachable_error(link.address, "broken off at the limit of its time")
         return answer
 
 
--- a/testing/daemons/test_replicas.py
+++ b/testing/daemons/test_replicas.py
@@ -252,7 +252,7 @@
 
     def test_callers_of_a_router_that_alone_is_cut_off_are_sent_on_at_once(self, site, monkeypatch):
         def cut(link, path, body):
-            raise links.unreachable(link.address, "cut")
+            raise links.unreachable_error(link.address, "cut")
 
         # Control boxes that stop one after the other may still say that nobody leads.
         monkeypatch.setattr(links.Link, "post", cut)
--- a/testing/settings/test_loader.py
+++ b/testing/settings/test_loader.py
@@ -57,19 +57,19 @@
 @hypothesis.given(JSON)
 def test_text_parses_the_same_with_and_without_comments(value):
     text = json.dumps(value, ensure_ascii=False)
-    assert loader.read(text) == loader.read(f"/* a comment */ {text}") == value
+    assert loader.parse_json(text) == loader.parse_json(f"/* a comment */ {text}") == value
 
 
 def test_text_without_comments_is_not_parsed_by_json5(monkeypatch):
     monkeypatch.setattr(json5, "loads", lambda *_, **__: pytest.fail("it was called"))
     document = {"routes": [{"name": f"route-{number}"} for number in range(3000)]}
-    assert loader.read(json.dumps(document)) == document
+    assert loader.parse_json(json.dumps(document)) == document
 
 
 @pytest.mark.parametrize("text", ['{"a": 1, "a": 2}', '{"a": {"b": 1, "b": 2}} // twice'])
 def test_duplicate_key_is_rejected_at_any_depth(text):
     with pytest.raises(ValueError, match=r"[Dd]uplicate"):
-        loader.read(text)
+        loader.parse_json(text)
 
 
 def test_error_names_a_missing_key():
