--- a/src/croftpulley/cancel.py
+++ b/src/croftpulley/cancel.py
@@ -40,7 +40,7 @@
                 return
         callback()
 
-    def forget(self, callback: Callable[[], None]) -> None:
+    def remove_callback(self, callback: Callable[[], None]) -> None:
         """Remove ``callback`` if it is registered."""
         with self._lock:
             if callback in self._callbacks:
--- a/src/croftpulley/cli/explain.py
+++ b/src/croftpulley/cli/explain.py
@@ -40,7 +40,9 @@
     Example: croftpulley explain 9c41d07be2a35f68 --logs router-1.log --logs control-1.log
     """
     texts = [lines_of(each) for each in files]
-    story = explaining.explain(request_id, explaining.read(itertools.chain.from_iterable(texts)))
+    story = explaining.explain(
+        request_id, explaining.parse_lines(itertools.chain.from_iterable(texts))
+    )
     if as_json:
         lines = [str(line) for line in story.lines]
         click.echo(orjson.dumps({"cause": story.cause, "lines": lines}).decode())
--- a/src/croftpulley/cli/losses.py
+++ b/src/croftpulley/cli/losses.py
@@ -28,7 +28,7 @@
     Example: croftpulley losses --logs router-1.log --logs router-2.log
     """
     texts = itertools.chain.from_iterable(explain.lines_of(each) for each in files)
-    table = tabulating.tabulate(explaining.read(texts), window_s)
+    table = tabulating.tabulate(explaining.parse_lines(texts), window_s)
     if as_json:
         rows = [
             {
--- a/src/croftpulley/controllers/permits.py
+++ b/src/croftpulley/controllers/permits.py
@@ -171,7 +171,7 @@
                     self._grant(request.pool, pool, now_s)
                 wake_event.wait(min(waiter.until_s - now_s, _POLL_S))
         finally:
-            request.token.forget(wake_event.set)
+            request.token.remove_callback(wake_event.set)
 
     def _release(self, permit: Permit, pool: _Pool, now_s: float) -> None:
         pool.queue.release(now_s - permit.since_s)
--- a/src/croftpulley/endpoints/connection.py
+++ b/src/croftpulley/endpoints/connection.py
@@ -242,7 +242,7 @@
 
     def close(self) -> None:
         """Close the connection."""
-        self._token.forget(self.shutdown)
+        self._token.remove_callback(self.shutdown)
         if self.response is not None:
             self.response.close()
         self._connection.close()
--- a/src/croftpulley/filters/chain.py
+++ b/src/croftpulley/filters/chain.py
@@ -42,7 +42,7 @@
 
     Relay comes before dispatch because it runs the rest of the chain once for each attempt.
     """
-    return steps.link(
+    return steps.build_chain(
         (
             filters.observe,
             filters.serving,
@@ -58,7 +58,7 @@
 
 def service_chain(filters: Filters) -> base.Proceed:
     """Return the chain for calls to plain services."""
-    return steps.link(
+    return steps.build_chain(
         (
             filters.observe,
             filters.serving,
--- a/src/croftpulley/forwarding/chain.py
+++ b/src/croftpulley/forwarding/chain.py
@@ -24,7 +24,7 @@
 
 def forward_chain(steps: Steps) -> base.Proceed:
     """Return a function that runs a request through all steps."""
-    return linking.link(
+    return linking.build_chain(
         (
             steps.observe,
             steps.limit_unread,
--- a/src/croftpulley/observe/explain.py
+++ b/src/croftpulley/observe/explain.py
@@ -50,7 +50,7 @@
     cause: str
 
 
-def read(text_lines: Iterable[str]) -> Iterator[LogLine]:
+def parse_lines(text_lines: Iterable[str]) -> Iterator[LogLine]:
     """Parse log lines; skip text before the JSON object, and lines that hold no event."""
     for text in text_lines:
         begin = text.find("{")
--- a/src/croftpulley/steps.py
+++ b/src/croftpulley/steps.py
@@ -22,7 +22,7 @@
         """Return the reply to one exchange."""
 
 
-def link(steps: Sequence[Step[E, R]]) -> Callable[[E], R]:
+def build_chain(steps: Sequence[Step[E, R]]) -> Callable[[E], R]:
     """Return a function that runs the steps in order.
 
     The last step must not call ``proceed``, which raises `RuntimeError` there.
--- a/testing/observe/test_explain.py
+++ b/testing/observe/test_explain.py
@@ -52,7 +52,7 @@
 
 
 def explain_request(*lines):
-    return explain.explain(ID, explain.read(lines))
+    return explain.explain(ID, explain.parse_lines(lines))
 
 
 @pytest.mark.parametrize(
@@ -295,7 +295,7 @@
 
 def test_lines_without_an_event_are_skipped():
     lines = ["plain text", "{not json", '{"no": "event"}', f"  45.301 router-1 {answered()}"]
-    assert [line.event_name for line in explain.read(lines)] == ["request_answered"]
+    assert [line.event_name for line in explain.parse_lines(lines)] == ["request_answered"]
 
 
 @pytest.mark.parametrize("code", codes.ResultCode)
--- a/testing/observe/test_losses.py
+++ b/testing/observe/test_losses.py
@@ -29,7 +29,7 @@
 
 
 def tabulate_lines(*lines):
-    return losses.tabulate(explain.read(lines), window_s=2.0)
+    return losses.tabulate(explain.parse_lines(lines), window_s=2.0)
 
 
 @pytest.mark.parametrize(
