--- a/src/croftpulley/controllers/reach.py
+++ b/src/croftpulley/controllers/reach.py
@@ -196,7 +196,7 @@
         )
 
 
-class NotingDialer(dialing.Dialer):
+class RecordingDialer(dialing.Dialer):
     """Dials one endpoint and records in a `Reach` whether it was reached."""
 
     def __init__(self, endpoint: membership.Endpoint, known: Reach, dialer: dialing.Dialer) -> None:
--- a/src/croftpulley/controllers/renewal.py
+++ b/src/croftpulley/controllers/renewal.py
@@ -238,7 +238,7 @@
             outcomes=self._counts.take_outcomes(),
             suspects_revision=self._suspected.revision,
             halls_revision=known.evacuated.revision,
-            leaving=self._counts.said_leaving(known.endpoints),
+            leaving=self._counts.newly_leaving(known.endpoints),
             resting_s=own_loads.resting_s,
             unreached=tuple(sorted(self._reach.lost)),
             answered=self._reach.take_answered(),
@@ -249,7 +249,7 @@
             )
         except errors.CroftpulleyError:
             # The report may have arrived all the same; a repeated note changes nothing.
-            self._counts.give_back_notes(report.notes)
+            self._counts.requeue_notes(report.notes)
             raise
         return json_codec.decode(body, box_messages.BoxReportAnswer)
 
@@ -316,7 +316,7 @@
         own_loads: listed_counts.EndpointLoads,
     ) -> None:
         known = self._view.get()
-        self._suspected.learn(answer.suspects)
+        self._suspected.apply_update(answer.suspects)
         if answer.endpoints:
             # An empty list is ignored: without endpoints nothing can be served, and requests to an
             # endpoint that is really gone fail visibly.
@@ -363,7 +363,7 @@
             events.emit(_LOG, events.Event.BOXES_CHANGED, boxes=[box.name for box in answer.boxes])
         if answer.endpoints or self._tracker.has_stale_entries:
             changed = self._with_endpoints(changed, self._endpoint_list)
-        self._counts.learn_notes(answer.notes)
+        self._counts.apply_notes(answer.notes)
         self._view.publish(changed)
 
     def _with_cold_quotas(
@@ -397,9 +397,9 @@
     ) -> router_state.RouterState:
         """Return the state with the tracked endpoints; drop data of incarnations that ended."""
         endpoints = self._tracker.update(endpoint_list.value, self._clock.monotonic_s())
-        self._counts.keep(endpoints)
-        self._suspected.keep(endpoints)
-        self._origins.keep(endpoints)
+        self._counts.update_listed(endpoints)
+        self._suspected.update_listed(endpoints)
+        self._origins.update_listed(endpoints)
         return attrs.evolve(state, endpoints=endpoints, endpoints_version=endpoint_list.version)
 
     def _note_failed_renewal(self, address: str, failure: errors.CroftpulleyError) -> None:
--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -123,7 +123,7 @@
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
-        self._kept_s = max(MIN_RETENTION_S, repeats_counted_s)
+        self._retention_s = max(MIN_RETENTION_S, repeats_counted_s)
         self._command_log = log
         self._replica_status = replica_status
         self._endpoints = endpoints
@@ -266,7 +266,7 @@
         return box_messages.BoxReportAnswer(
             lease_s=self._lease_s,
             registered_boxes=len(state.boxes),
-            kept_s=self._kept_s,
+            kept_s=self._retention_s,
             leader_address=status.leader_address,
             control_addresses=status.addresses,
             silent_addresses=status.silent_addresses,
@@ -350,7 +350,7 @@
         now_s = self._clock.monotonic_s()
         for box in self._sessions.remove_expired(now_s):
             events.emit(_LOG, events.Event.BOX_EXPIRED, expired_box=box)
-            self._unregister_at_s[box] = now_s + self._kept_s
+            self._unregister_at_s[box] = now_s + self._retention_s
         # Once per tick: at each renewal the cost would be quadratic in the number of boxes.
         self._boxes.set(self._sessions.boxes(now_s))
         self._unregister_expired(now_s)
--- a/src/croftpulley/controllers/stream_origins.py
+++ b/src/croftpulley/controllers/stream_origins.py
@@ -22,8 +22,8 @@
 _LOG = logging.getLogger(__name__)
 NEW_VERSION_S = 5.0
 """How long a version counts as new at a box after the box has first seen it. For
-`router_state.SETTLED_TTL_S`, another box may still assume that the pool has a single version, from a
-list that the leader read up to 2 s earlier and that lagged."""
+`router_state.SETTLED_TTL_S`, another box may still assume that the pool has a single version, from
+a list that the leader read up to 2 s earlier and that lagged."""
 TIMEOUT_S = 0.25
 """Timeout for a message to another box, short enough to leave time for trying the next box."""
 MAX_CONNECTIONS = 16
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Found:
+class FoundOrigin:
     """The result of a search for the origin of a stream that a caller resumes.
 
     ``origin`` is ``None`` if two different ones were announced. ``known_by`` names the box that
@@ -77,7 +77,9 @@
 
     # --- this box's own streams ----------------------------------------------------------------
 
-    def begun(self, announcement: origins.OriginAnnouncement, *, always_told: bool) -> None:
+    def remember_begun(
+        self, announcement: origins.OriginAnnouncement, *, always_announced: bool
+    ) -> None:
         """Remember a stream whose first event arrived and was not relayed to the caller yet.
 
         The stream is announced to other boxes while its pool may have endpoints of several
@@ -92,15 +94,15 @@
             self._origins.remember(announcement, now_s, is_announced=False)
         if is_new:
             self._announce_now(announcement, state)
-        if always_told or not is_settled:
+        if always_announced or not is_settled:
             self.on_unannounced()
 
-    def ended_whole(self, stream: origins.StreamId) -> None:
+    def mark_completed(self, stream: origins.StreamId) -> None:
         """Note that a stream's response was completed at this box."""
         with self._lock:
             self._origins.mark_completed(stream, self._clock.monotonic_s())
 
-    def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
+    def update_listed(self, endpoints: Iterable[membership.Endpoint]) -> None:
         """Update the listed versions from the list of endpoints; note when each was first seen."""
         now_s = self._clock.monotonic_s()
         listed = {(each.pool, each.version) for each in endpoints}
@@ -120,7 +122,7 @@
         """
         boxes = self._responsive_first(self._holders.for_stream(announcement.stream, state.boxes))
         message = box_messages.OriginAnnouncements(streams=(announcement,))
-        if boxes and not any(self.tell(each, message) for each in boxes):
+        if boxes and not any(self.announce(each, message) for each in boxes):
             raise errors.CroftpulleyError(
                 codes.ResultCode.ORIGIN_UNTOLD,
                 f"version {announcement.origin.version!r} of pool {announcement.origin.pool!r} "
@@ -130,16 +132,16 @@
 
     # --- streams that callers resume -----------------------------------------------------------
 
-    def find(self, stream: origins.StreamId) -> Found | None:
+    def find(self, stream: origins.StreamId) -> FoundOrigin | None:
         """Return where a stream began, from memory or another box; ``None`` if no box knows."""
         own = self.remembered(stream)
         if own is not None:
-            return Found(own.origin, self._box)
+            return FoundOrigin(own.origin, self._box)
         state = self._view.get()
         for each in self._responsive_first(self._holders.for_stream(stream, state.boxes)):
             answer = self._ask(each, stream)
             if answer is not None and answer.is_known:
-                return Found(answer.origin, each.name)
+                return FoundOrigin(answer.origin, each.name)
         return None
 
     def remembered(self, stream: origins.StreamId) -> origins.StreamRecord | None:
@@ -160,7 +162,7 @@
 
     # --- announcements of other boxes ----------------------------------------------------------
 
-    def take(self, streams: Iterable[origins.OriginAnnouncement]) -> None:
+    def remember_announced(self, streams: Iterable[origins.OriginAnnouncement]) -> None:
         """Remember the streams that another box announces."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -186,7 +188,7 @@
             ]
             return self._origins.take_unannounced(pools, now_s)
 
-    def all_told(self) -> list[origins.OriginAnnouncement]:
+    def all_announced(self) -> list[origins.OriginAnnouncement]:
         """Return all announced streams, which several boxes should know."""
         with self._lock:
             return list(self._origins.announced(self._clock.monotonic_s()))
@@ -207,7 +209,7 @@
         """Tell whether a box failed to answer in the last `BACKOFF_S`."""
         return self._recent_failures.has_failed_recently(box.name, self._clock.monotonic_s())
 
-    def tell(self, box: membership.Box, message: box_messages.OriginAnnouncements) -> bool:
+    def announce(self, box: membership.Box, message: box_messages.OriginAnnouncements) -> bool:
         """Announce streams to another box; return whether it took them."""
         try:
             self._post(box, box_messages.ORIGIN_ANNOUNCEMENTS_PATH, json_codec.encode(message))
@@ -276,7 +278,9 @@
         before, self._boxes = self._boxes, self._view.get().boxes
         if before == self._boxes or not before:
             return
-        self._announce(self._known.all_told(), lambda stream: self._new_holders(stream, before))
+        self._announce(
+            self._known.all_announced(), lambda stream: self._new_holders(stream, before)
+        )
 
     def _new_holders(
         self, stream: origins.StreamId, before: tuple[membership.Box, ...]
@@ -307,7 +311,7 @@
                 self._log_unannounced(box, len(announcements) - start)
                 return
             part = tuple(announcements[start : start + MAX_STREAMS_PER_MESSAGE])
-            self._known.tell(box, box_messages.OriginAnnouncements(streams=part))
+            self._known.announce(box, box_messages.OriginAnnouncements(streams=part))
 
     @staticmethod
     def _log_unannounced(box: membership.Box, count: int) -> None:
--- a/src/croftpulley/controllers/streams.py
+++ b/src/croftpulley/controllers/streams.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define(eq=False)
-class Watched:
+class WatchedRequest:
     """A request that is cancelled after its deadline or once its caller is gone."""
 
     token: cancel.CancelToken
@@ -59,7 +59,7 @@
         self._counters = counters
         self._lock = threading.Condition()
         self._in_flight = InFlight(streams_limit)
-        self._watched: set[Watched] = set()
+        self._watched: set[WatchedRequest] = set()
 
     def enter(self, workspace: str, workspace_limit: int) -> None:
         """Count one more request; raises `errors.CroftpulleyError` if a limit is reached."""
@@ -76,12 +76,12 @@
             self._counters.streams_open(self._in_flight.total)
             self._lock.notify_all()
 
-    def watch(self, watched: Watched) -> None:
+    def watch(self, watched: WatchedRequest) -> None:
         """Add a request to those that `sweep` checks."""
         with self._lock:
             self._watched.add(watched)
 
-    def unwatch(self, watched: Watched) -> None:
+    def unwatch(self, watched: WatchedRequest) -> None:
         """Remove a request from those that `sweep` checks."""
         with self._lock:
             self._watched.discard(watched)
--- a/src/croftpulley/controllers/suspicion.py
+++ b/src/croftpulley/controllers/suspicion.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Standing:
+class SuspectStatus:
     """What implicates a request or prompt part.
 
     ``crashes`` counts the endpoints that it may have crashed, and ``refused_for_s`` is for how long
@@ -52,7 +52,7 @@
 
     crashes: int = 0
     refused_for_s: float = 0.0
-    put_off_for_s: float = 0.0
+    trial_delay_s: float = 0.0
     """How long no trial is requested, because the last request for one was not granted."""
     summary: suspect_messages.SuspectSummary = _NO_SUMMARY
 
@@ -74,7 +74,7 @@
 class _PublishedSuspect:
     """A suspect as the leading control box described it, and when its refusal ends by our clock."""
 
-    told: suspect_messages.SuspectSummary
+    summary: suspect_messages.SuspectSummary
     refused_until_s: float = 0.0
 
 
@@ -99,7 +99,7 @@
         self._counters = counters
         self._lock = threading.Lock()
         self._crash_candidates = crash_candidates.CrashCandidates()
-        self._heard: dict[str, _PublishedSuspect] = {}
+        self._published: dict[str, _PublishedSuspect] = {}
         self._revision = 0
         self._crashes: dict[suspect_messages.Crash, None] = {}
         self._unreported: collections.Counter[str] = collections.Counter()
@@ -118,19 +118,19 @@
         """The revision of the suspects that the leading control box sent last."""
         return self._revision
 
-    def learn(self, update: suspect_messages.SuspectsUpdate | None) -> None:
+    def apply_update(self, update: suspect_messages.SuspectsUpdate | None) -> None:
         """Apply an update from the leading control box, and clear what survived here since."""
         if update is None:
             return
         now_s = self._clock.monotonic_s()
         with self._lock:
             if update.is_whole:
-                self._heard.clear()
+                self._published.clear()
             for fingerprint in update.removed:
-                self._heard.pop(fingerprint, None)
+                self._published.pop(fingerprint, None)
             for summary in update.suspects:
                 refused_until_s = now_s + summary.refused_for_s if summary.refused_for_s else 0.0
-                self._heard[summary.fingerprint] = _PublishedSuspect(summary, refused_until_s)
+                self._published[summary.fingerprint] = _PublishedSuspect(summary, refused_until_s)
             self._revision = update.revision
             since_s = now_s - SURVIVAL_WINDOW_S - _MAX_UPDATE_DELAY_S
             cleared = [
@@ -143,39 +143,39 @@
         if cleared:
             self.on_reportable()
 
-    def standing(self, fingerprint: str) -> Standing:
+    def status(self, fingerprint: str) -> SuspectStatus:
         """Return what implicates a request or part, as far as this router knows."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             return self._status(fingerprint, now_s)
 
-    def against(self, names: Iterable[str]) -> dict[str, Standing]:
+    def needing_trial(self, features: Iterable[str]) -> dict[str, SuspectStatus]:
         """Return those of the features that need a trial, each with its status."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            if not (self._heard or self._crashes):
+            if not (self._published or self._crashes):
                 return {}
-            implicated = [each for each in names if self._is_implicated(each)]
+            implicated = [each for each in features if self._is_implicated(each)]
             statuses = {each: self._status(each, now_s) for each in implicated}
         return {name: each for name, each in statuses.items() if each.needs_trial}
 
-    def _status(self, fingerprint: str, now_s: float) -> Standing:
-        published = self._heard.get(fingerprint, _NOT_PUBLISHED)
+    def _status(self, fingerprint: str, now_s: float) -> SuspectStatus:
+        published = self._published.get(fingerprint, _NOT_PUBLISHED)
         own = self._unreported[fingerprint]
         if fingerprints.is_part(fingerprint):
             # The control box's number does not include the crashes not reported yet.
-            crashes = published.told.crashes + own
+            crashes = published.summary.crashes + own
         else:
-            crashes = max(published.told.crashes, own)
+            crashes = max(published.summary.crashes, own)
         no_trial_until_s = self._no_trial_until_s.get(fingerprint, 0.0)
-        return Standing(
+        return SuspectStatus(
             crashes=crashes,
             refused_for_s=max(0.0, published.refused_until_s - now_s),
-            put_off_for_s=max(0.0, no_trial_until_s - now_s),
-            summary=published.told,
+            trial_delay_s=max(0.0, no_trial_until_s - now_s),
+            summary=published.summary,
         )
 
-    def put_off(self, fingerprint: str) -> None:
+    def delay_trials(self, fingerprint: str) -> None:
         """Let no trial of a feature be requested for `TRIAL_RETRY_DELAY_S`."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -183,7 +183,7 @@
             self._no_trial_until_s = {name: at_s for name, at_s in known if at_s > now_s}
             self._no_trial_until_s[fingerprint] = now_s + TRIAL_RETRY_DELAY_S
 
-    def unclear(self, fingerprint: str) -> tuple[str, ...]:
+    def unexplained_breaks(self, fingerprint: str) -> tuple[str, ...]:
         """Return the incarnations where a request's connection broke recently, cause unknown."""
         with self._lock:
             return self._crash_candidates.unexplained_breaks(fingerprint, self._clock.monotonic_s())
@@ -222,7 +222,7 @@
         ):
             self.on_connection_broken(endpoint)
 
-    def writes(
+    def clear_parts(
         self,
         endpoint: membership.Endpoint,
         request: crash_candidates.RequestIdentity,
@@ -239,7 +239,7 @@
         if is_cleared:
             self.on_reportable()
 
-    def lives_on(self, endpoint: membership.Endpoint) -> None:
+    def confirm_alive(self, endpoint: membership.Endpoint) -> None:
         """Note that an endpoint has begun a successful response.
 
         Responses that ended with their connection before that were complete.
@@ -251,7 +251,7 @@
         if any(cleared):
             self.on_reportable()
 
-    def looked(self, endpoint: membership.Endpoint, *, listens: bool | None) -> None:
+    def note_probe(self, endpoint: membership.Endpoint, *, listens: bool | None) -> None:
         """Apply the result of a probe of an endpoint's address.
 
         ``listens`` is ``False`` if it refused the connection, ``None`` if that is not known.
@@ -266,7 +266,7 @@
             self._add_crashes(endpoint.key, candidates)
         self._log_crash(endpoint.key, "refuses connections", candidates)
 
-    def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
+    def update_listed(self, endpoints: Iterable[membership.Endpoint]) -> None:
         """Take the list of endpoints: one that vanished without shutting down has crashed."""
         leaving = {each.key: each.leaving for each in endpoints}
         with self._lock:
@@ -283,7 +283,7 @@
             _drop_oldest(self._trial_ends)
         self.on_reportable()
 
-    def news(self) -> suspect_messages.Report:
+    def pending_report(self) -> suspect_messages.Report:
         """Return what is not reported yet, at most `MAX_REPORTED` crashes of it."""
         with self._lock:
             self._crash_candidates.forget(self._clock.monotonic_s())
@@ -293,7 +293,7 @@
                 cleared=tuple(self._cleared),
             )
 
-    def reported(self, report: suspect_messages.Report) -> None:
+    def mark_reported(self, report: suspect_messages.Report) -> None:
         """Drop what the control boxes' log contains now."""
         with self._lock:
             for crash in report.crashes:
@@ -311,8 +311,8 @@
         Other boxes may have reported the same crash: a summary that was received before stays.
         """
         feature = crash.fingerprint
-        if fingerprints.is_part(feature) and feature not in self._heard:
-            self._heard[feature] = _PublishedSuspect(
+        if fingerprints.is_part(feature) and feature not in self._published:
+            self._published[feature] = _PublishedSuspect(
                 suspect_messages.SuspectSummary(feature, 1, pools=(crash.pool,))
             )
 
@@ -329,7 +329,7 @@
         if not request.parts:
             return False
         self._survivals.note(request.pool, request.parts, now_s)
-        if not (self._heard or self._crashes):
+        if not (self._published or self._crashes):
             return False
         implicated = [each for each in request.parts if self._is_implicated(each)]
         cleared = [each for each in implicated if self._is_cleared_by_pool(each, request.pool)]
@@ -342,7 +342,7 @@
 
         It does in a pool where the part is implicated: it may crash the endpoints of one pool only.
         """
-        pools = self._heard.get(feature, _NOT_PUBLISHED).told.pools
+        pools = self._published.get(feature, _NOT_PUBLISHED).summary.pools
         pools += tuple(each.pool for each in self._crashes if each.fingerprint == feature)
         return pool in pools
 
@@ -352,10 +352,10 @@
         self._drop_crashes(fingerprint)
         if fingerprints.is_part(fingerprint):
             # Else each survival would clear it again until the control box sends the removal.
-            self._heard.pop(fingerprint, None)
+            self._published.pop(fingerprint, None)
 
     def _is_implicated(self, fingerprint: str) -> bool:
-        return fingerprint in self._heard or fingerprint in self._unreported
+        return fingerprint in self._published or fingerprint in self._unreported
 
     def _drop_crashes(self, fingerprint: str) -> None:
         if fingerprint not in self._unreported:
--- a/src/croftpulley/controllers/suspicion_reports.py
+++ b/src/croftpulley/controllers/suspicion_reports.py
@@ -48,7 +48,7 @@
         The request carries what this router has yet to report. The control box puts that into the
         log before it decides.
         """
-        report = self._suspicion.news()
+        report = self._suspicion.pending_report()
         request = box_messages.TrialRequest(
             report=report, fingerprint=fingerprint, trial=trial, limit_s=limit_s, asker=asker
         )
@@ -64,7 +64,7 @@
             return None
         answer = json_codec.decode(body, box_messages.TrialRequestAnswer).answer
         if answer is not None:
-            self._suspicion.reported(report)
+            self._suspicion.mark_reported(report)
         return answer
 
 
@@ -113,7 +113,7 @@
                 if endpoint.key not in self._probed:
                     self._probed[endpoint.key] = None
                     listed = self._view.get().endpoints
-                    look(self._suspicion, endpoint, listed, self._connect_timeout_s, self._dialer)
+                    probe(self._suspicion, endpoint, listed, self._connect_timeout_s, self._dialer)
             case _Report():
                 self._report()
             case actors.Tick():
@@ -121,7 +121,7 @@
                 self._report()
 
     def _report(self) -> None:
-        report = self._suspicion.news()
+        report = self._suspicion.pending_report()
         address = self._view.get().leader_address
         if report.is_empty or not address:
             return
@@ -136,10 +136,10 @@
             # The link has counted the failure; the next tick retries.
             return
         if answer.is_taken:
-            self._suspicion.reported(report)
+            self._suspicion.mark_reported(report)
 
 
-def look(
+def probe(
     known: suspicion.Suspicion,
     endpoint: membership.Endpoint,
     listed: Iterable[membership.Endpoint],
@@ -155,7 +155,7 @@
     others = [each for each in listed if each.key != endpoint.key]
     if listens is False and others and not _can_reach_any(others, timeout_s, dialer):
         listens = None
-    known.looked(endpoint, listens=listens)
+    known.note_probe(endpoint, listens=listens)
 
 
 def _can_reach_any(
@@ -172,6 +172,6 @@
     return False
 
 
-def new_trial() -> str:
+def new_trial_id() -> str:
     """Return a new, unique trial ID."""
     return uuid.uuid4().hex
--- a/src/croftpulley/controllers/traffic.py
+++ b/src/croftpulley/controllers/traffic.py
@@ -83,7 +83,7 @@
                 self._records.resting_s(now_s),
             )
 
-    def begin_reading(self, facts: calls.CallFacts, engine: str, tokens: int) -> None:
+    def begin_prefill(self, facts: calls.CallFacts, engine: str, tokens: int) -> None:
         """Add the tokens that an engine has to prefill, and note that it caches shared parts."""
         now_s = self._clock.monotonic_s()
 
@@ -95,7 +95,7 @@
             for part in facts.shared_prefix:
                 self._records.note_own(prompt_part_index.Note(part.part_id, engine), now_s)
 
-    def end_reading(self, engine: str, tokens: int) -> None:
+    def end_prefill(self, engine: str, tokens: int) -> None:
         """Subtract tokens whose prefill is complete or was given up."""
 
         def count(record: records.Record) -> None:
@@ -121,12 +121,12 @@
         with self._lock:
             return self._records.take_notes()
 
-    def give_back_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
+    def requeue_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
         """Take back notes that could not be delivered; the next report has them again."""
         with self._lock:
             self._records.requeue_notes(notes)
 
-    def learn_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
+    def apply_notes(self, notes: prompt_part_index.NotesByEngine) -> None:
         """Apply notes from the control box: those of other boxes and, again, this box's own."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -200,7 +200,7 @@
             for each in endpoints:
                 self._records.update(each, lambda record: record.backoff.answered())
 
-    def gone(self, endpoint: str) -> None:
+    def address_reused(self, endpoint: str) -> None:
         """Note that another endpoint uses an endpoint's address now."""
         now_s = self._clock.monotonic_s()
         self._update(endpoint, lambda record: record.backoff.address_reused(now_s))
@@ -222,13 +222,13 @@
 
         self._update(endpoint, note)
 
-    def hear(self, endpoint: str, notice: withdrawal.Notice) -> withdrawal.NoticeNews:
+    def apply_notice(self, endpoint: str, notice: withdrawal.Notice) -> withdrawal.NoticeNews:
         """Apply a notice in the response headers of an endpoint; return what is new in it."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             return self._records.apply_notice(endpoint, notice, now_s)
 
-    def hear_load(self, endpoint: str, report: load_reports.ReportedLoad) -> None:
+    def store_load_report(self, endpoint: str, report: load_reports.ReportedLoad) -> None:
         """Store a load report from the response headers of an endpoint, if boxes share capacity."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -245,7 +245,7 @@
         """
         return self._shares_room
 
-    def hear_brittle(self, endpoint: membership.Endpoint, limit: int | None) -> bool:
+    def note_rejection_limit(self, endpoint: membership.Endpoint, limit: int | None) -> bool:
         """Store how many requests an endpoint can reject in a second; ``None``: any number.
 
         Returns whether that is new.
@@ -267,12 +267,12 @@
         with self._lock:
             return self._brittle.is_brittle(endpoint, self._clock.monotonic_s())
 
-    def stay_away(self, endpoint: str, seconds_s: float) -> None:
+    def block_for(self, endpoint: str, seconds_s: float) -> None:
         """Send no requests from this box to an endpoint for a time."""
         until_s = self._clock.monotonic_s() + seconds_s
         self._update(endpoint, lambda record: record.backoff.block_until(until_s))
 
-    def bounds_room(self, pool: str) -> bool:
+    def needs_permit(self, pool: str) -> bool:
         """Tell whether a request needs a permit of its pool.
 
         It does if boxes share the capacity of pools, or if endpoints of the pool are brittle.
@@ -322,7 +322,7 @@
         with self._lock:
             return self._records.expire_rests(now_s)
 
-    def said_leaving(self, endpoints: Iterable[membership.Endpoint]) -> tuple[str, ...]:
+    def newly_leaving(self, endpoints: Iterable[membership.Endpoint]) -> tuple[str, ...]:
         """Return the keys of endpoints that announced shutdown and are not listed as leaving."""
         with self._lock:
             announced = self._records.leaving_keys()
@@ -345,7 +345,7 @@
         with self._lock:
             self._records.update(endpoint, apply)
 
-    def keep(self, endpoints: Iterable[membership.Endpoint]) -> None:
+    def update_listed(self, endpoints: Iterable[membership.Endpoint]) -> None:
         """Remove the records of incarnations that are not listed any more."""
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -356,12 +356,12 @@
         with self._lock:
             return self._send_limiter.may_send(endpoint, quota_per_s, self._clock.monotonic_s())
 
-    def take_cold(self, endpoint: str, quota_per_s: int) -> send_quotas.SendRecord | None:
+    def reserve_cold_send(self, endpoint: str, quota_per_s: int) -> send_quotas.SendRecord | None:
         """Reserve one request of a cold endpoint's quota; ``None`` if the quota is used up."""
         with self._lock:
             return self._send_limiter.try_reserve(endpoint, quota_per_s, self._clock.monotonic_s())
 
-    def cold_leaves(self, record: send_quotas.SendRecord) -> None:
+    def mark_cold_sent(self, record: send_quotas.SendRecord) -> None:
         """Count a request to a cold endpoint from now on: it is being sent, or never will be."""
         with self._lock:
             record.sent_at_s = self._clock.monotonic_s()
@@ -377,7 +377,7 @@
             now_s = self._clock.monotonic_s()
             self._extra_share = self._extra_share.renewed(grant, now_s, self._allowance.counted_s)
 
-    def take_repeat(self, pool: str) -> retry_budget.Decision:
+    def acquire_repeat(self, pool: str) -> retry_budget.Decision:
         """Acquire one repeat from the pool's retry budget; return the budget's decision."""
         with self._lock:
             now_s = self._clock.monotonic_s()
@@ -388,7 +388,7 @@
         with self._lock:
             return self._extra_share.fraction(self._clock.monotonic_s())
 
-    def repeat_leaves(self, repeat: retry_budget.Repeat) -> None:
+    def mark_repeat_sent(self, repeat: retry_budget.Repeat) -> None:
         """Count a repeat from now on: it is being sent."""
         with self._lock:
             repeat.at_s = self._clock.monotonic_s()
--- a/src/croftpulley/daemons/router.py
+++ b/src/croftpulley/daemons/router.py
@@ -323,7 +323,7 @@
         )
 
     def _way_to(self, endpoint: membership.Endpoint) -> dialing.Dialer:
-        return reach.NotingDialer(endpoint, self._reach, self._dialer)
+        return reach.RecordingDialer(endpoint, self._reach, self._dialer)
 
     def _make_hops(self) -> hops.HopForwarder:
         settings = self._settings
--- a/src/croftpulley/filters/deadline.py
+++ b/src/croftpulley/filters/deadline.py
@@ -22,7 +22,9 @@
         """
         budget_ms = self._budget_ms(exchange.request.header("x-deadline-ms"))
         exchange.deadline_s = exchange.request.arrived_s + budget_ms / 1000
-        watched = streams.Watched(exchange.token, exchange.deadline_s, exchange.request.caller_gone)
+        watched = streams.WatchedRequest(
+            exchange.token, exchange.deadline_s, exchange.request.caller_gone
+        )
         self._streams.watch(watched)
         exchange.at_end.callback(self._streams.unwatch, watched)
         return proceed(exchange)
--- a/src/croftpulley/forwarding/admission.py
+++ b/src/croftpulley/forwarding/admission.py
@@ -42,7 +42,7 @@
 
         Raises `permits.NoPermitError` if there is no permit in time.
         """
-        if self._counts.bounds_room(exchange.pool):
+        if self._counts.needs_permit(exchange.pool):
             permit = self._acquire(exchange)
             exchange.at_end.callback(self._permits.release, permit)
         return proceed(exchange)
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -53,7 +53,7 @@
         """Stop counting the prompt as prefill; a second call does nothing."""
         tokens, self.prefill_tokens = self.prefill_tokens, 0
         if tokens:
-            self.counts.end_reading(self.endpoint.key, tokens)
+            self.counts.end_prefill(self.endpoint.key, tokens)
 
     def close(self) -> None:
         """Free the connection and stop counting the attempt; a second call does nothing."""
@@ -100,7 +100,7 @@
         except BaseException:
             if placed.send_record is not None:
                 # Nothing more is sent, so the time of sending is at most now.
-                self._counts.cold_leaves(placed.send_record)
+                self._counts.mark_cold_sent(placed.send_record)
             raise
 
     def _open(
@@ -120,7 +120,7 @@
         )
         outgoing_request = self._outgoing_request(exchange, outgoing, placed)
         self._counts.enter(endpoint.key)
-        self._counts.begin_reading(exchange.facts, endpoint.key, placed.reading_tokens)
+        self._counts.begin_prefill(exchange.facts, endpoint.key, placed.reading_tokens)
         self._gate.attempt_started(exchange, endpoint, attempt)
         on_close = functools.partial(self._gate.attempt_ended, exchange, endpoint, attempt)
         on_event = functools.partial(self._gate.event_received, exchange, endpoint, attempt)
@@ -129,7 +129,7 @@
         except BaseException as failure:
             if isinstance(failure, departures.HeldBackError):
                 exchange.attempts.discard(attempt)
-            self._counts.end_reading(endpoint.key, placed.reading_tokens)
+            self._counts.end_prefill(endpoint.key, placed.reading_tokens)
             self._counts.leave(endpoint.key)
             on_close()
             raise
--- a/src/croftpulley/forwarding/departures.py
+++ b/src/croftpulley/forwarding/departures.py
@@ -65,9 +65,9 @@
                 self._check(exchange, placed)
             is_checked = True
             if repeat is not None:
-                self._counts.repeat_leaves(repeat)
+                self._counts.mark_repeat_sent(repeat)
             if placed.send_record is not None:
-                self._counts.cold_leaves(placed.send_record)
+                self._counts.mark_cold_sent(placed.send_record)
 
         return on_leaving
 
--- a/src/croftpulley/forwarding/event_stream.py
+++ b/src/croftpulley/forwarding/event_stream.py
@@ -51,7 +51,7 @@
                         yield complete_events
                     self._counts.answered(current.endpoint.key)
                     if exchange.origin is not None:
-                        self._origins.ended_whole(exchange.stream_id)
+                        self._origins.mark_completed(exchange.stream_id)
                     return
                 except errors.CroftpulleyError as failure:
                     if not has_begun:
@@ -75,7 +75,7 @@
         origin = exchange.origin or origins.Origin(exchange.pool, current.endpoint.version)
         retention_s = route.time_limit_ms / 1000 + origins.RETENTION_S
         announcement = origins.OriginAnnouncement(exchange.stream_id, origin, retention_s)
-        self._origins.begun(announcement, always_told=route.is_split)
+        self._origins.remember_begun(announcement, always_announced=route.is_split)
         exchange.origin = origin
 
 
--- a/src/croftpulley/forwarding/judge.py
+++ b/src/croftpulley/forwarding/judge.py
@@ -37,7 +37,7 @@
         """Send nothing for a while to a brittle endpoint that has rejected a request."""
         limit = self._counts.most_turned_away(endpoint.pool) or 0
         boxes = self._view.get().registered_boxes
-        self._counts.stay_away(endpoint.key, brittle.backoff_s(limit, boxes))
+        self._counts.block_for(endpoint.key, brittle.backoff_s(limit, boxes))
 
     def record_failure(
         self, current: attempt.OpenAttempt, verdict: verdicts.Verdict
@@ -49,7 +49,7 @@
             # The headers settle that the request was not run, whatever the body says.
             current.attempt.phase = attempts.Phase.REFUSED
             if status == verdicts.MISDIRECTED:
-                self._counts.gone(current.endpoint.key)
+                self._counts.address_reused(current.endpoint.key)
             elif self._counts.is_brittle(current.endpoint.key):
                 self._back_off(current.endpoint)
             elif not (
--- a/src/croftpulley/forwarding/notices.py
+++ b/src/croftpulley/forwarding/notices.py
@@ -54,7 +54,7 @@
         if notice.is_empty:
             return
         self._count_notice(notice)
-        news = self._counts.hear(endpoint.key, notice)
+        news = self._counts.apply_notice(endpoint.key, notice)
         _log_news(exchange, endpoint, notice, news)
 
     def _apply_load_report(
@@ -66,7 +66,7 @@
             return
         report = load_reports.parse(text)
         if report is not None:
-            self._counts.hear_load(endpoint.key, report)
+            self._counts.store_load_report(endpoint.key, report)
             return
         self._counters.notice("load_unusable")
         events.emit(
@@ -89,7 +89,7 @@
         if text and limit is None:
             self._counters.notice("brittle_unusable")
             return
-        if self._counts.hear_brittle(endpoint, limit):
+        if self._counts.note_rejection_limit(endpoint, limit):
             events.emit(
                 _LOG,
                 events.Event.BRITTLE_SAID,
--- a/src/croftpulley/forwarding/place.py
+++ b/src/croftpulley/forwarding/place.py
@@ -72,7 +72,7 @@
             quota_per_s = state.cold_quota(placed.endpoint, self._clock.monotonic_s())
             if quota_per_s is None:
                 return placed
-            send_record = self._counts.take_cold(placed.endpoint.key, quota_per_s)
+            send_record = self._counts.reserve_cold_send(placed.endpoint.key, quota_per_s)
             if send_record is not None:
                 return attrs.evolve(placed, send_record=send_record)
             # Another request has just used up the quota of this endpoint.
--- a/src/croftpulley/forwarding/retry.py
+++ b/src/croftpulley/forwarding/retry.py
@@ -55,7 +55,7 @@
             return False
         if log and log[-1].phase is attempts.Phase.UNSENT:
             return self._may_reach_others(exchange)
-        exchange.repeat = self._counts.take_repeat(exchange.pool)
+        exchange.repeat = self._counts.acquire_repeat(exchange.pool)
         if not exchange.repeat.is_granted:
             failures.log_held_back(exchange)
         self._counters.repeat(exchange.repeat.is_granted)
--- a/src/croftpulley/forwarding/rules.py
+++ b/src/croftpulley/forwarding/rules.py
@@ -113,7 +113,9 @@
         limit = exchange.workspace.in_flight_per_box if exchange.workspace else sys.maxsize
         self._watch.enter(workspace, limit)
         exchange.at_end.callback(self._watch.leave, workspace)
-        watched = streams.Watched(exchange.token, exchange.deadline_s, exchange.request.caller_gone)
+        watched = streams.WatchedRequest(
+            exchange.token, exchange.deadline_s, exchange.request.caller_gone
+        )
         self._watch.watch(watched)
         exchange.at_end.callback(self._watch.unwatch, watched)
         return proceed(exchange)
--- a/src/croftpulley/forwarding/suspects.py
+++ b/src/croftpulley/forwarding/suspects.py
@@ -63,14 +63,14 @@
         """
         self.end_trial(exchange)
         self._probe_unclear_endpoints(exchange)
-        implicated = self._known.against((exchange.fingerprint, *exchange.part_features))
+        implicated = self._known.needing_trial((exchange.fingerprint, *exchange.part_features))
         if not implicated:
             return
         for feature, standing in implicated.items():
             if standing.is_refused_to(_asker(exchange, feature, implicated)):
                 raise self._refused_error(feature, standing.crashes, standing.refused_for_s)
         for feature, standing in implicated.items():
-            if standing.put_off_for_s > 0:
+            if standing.trial_delay_s > 0:
                 raise self._put_off_error(feature, standing.crashes, _BUSY_RETRY_S)
         self._begin_trials(exchange, implicated)
 
@@ -101,7 +101,7 @@
 
     def response_started(self, endpoint: membership.Endpoint) -> None:
         """Record that an endpoint has begun a successful response, so it is alive."""
-        self._known.lives_on(endpoint)
+        self._known.confirm_alive(endpoint)
 
     def event_received(
         self, exchange: base.Exchange, endpoint: membership.Endpoint, attempt: attempts.Attempt
@@ -114,31 +114,31 @@
             attempt.began_s = now_s
         elif now_s - attempt.began_s >= _SURVIVAL_TIME_S:
             attempt.has_survived = True
-            self._known.writes(endpoint, _identify(exchange), attempt)
+            self._known.clear_parts(endpoint, _identify(exchange), attempt)
 
     def _probe_unclear_endpoints(self, exchange: base.Exchange) -> None:
         """Probe endpoints that may have crashed under the request, if that affects this request.
 
         It does if their crashes would make the request a suspect.
         """
-        unclear = self._known.unclear(exchange.fingerprint)
+        unclear = self._known.unexplained_breaks(exchange.fingerprint)
         if not unclear:
             return
-        crashes = self._known.standing(exchange.fingerprint).crashes
+        crashes = self._known.status(exchange.fingerprint).crashes
         if crashes + len(unclear) < suspect_messages.SUSPECTED_CRASHES:
             return
         for endpoint in exchange.state.endpoints:
             if endpoint.key in unclear:
                 listed = exchange.state.endpoints
-                suspicion_reports.look(
+                suspicion_reports.probe(
                     self._known, endpoint, listed, self._connect_timeout_s, self._dialer
                 )
 
     def _begin_trials(
-        self, exchange: base.Exchange, implicated: dict[str, suspicion.Standing]
+        self, exchange: base.Exchange, implicated: dict[str, suspicion.SuspectStatus]
     ) -> None:
         """Get a trial for each suspect feature of a request; if one fails, return all and raise."""
-        trial = suspicion_reports.new_trial()
+        trial = suspicion_reports.new_trial_id()
         granted: list[str] = []
         try:
             for feature, standing in implicated.items():
@@ -163,7 +163,7 @@
         exchange: base.Exchange,
         feature: str,
         trial: str,
-        standing: suspicion.Standing,
+        standing: suspicion.SuspectStatus,
         asker: suspect_messages.Asker,
     ) -> bool:
         """Return ``True`` if a trial is granted, ``False`` if none is needed any more.
@@ -175,13 +175,13 @@
         if answer is None:
             # The trial may have been granted although no answer arrived.
             self._known.trial_ended(suspect_messages.TrialEnd(feature, trial, was_sent=False))
-            self._known.put_off(feature)
+            self._known.delay_trials(feature)
             raise self._put_off_error(feature, standing.crashes, _UNANSWERED_RETRY_S)
         match answer.verdict:
             case suspect_messages.Verdict.REFUSED:
                 raise self._refused_error(feature, answer.crashes, answer.wait_s)
             case suspect_messages.Verdict.BUSY:
-                self._known.put_off(feature)
+                self._known.delay_trials(feature)
                 raise self._put_off_error(feature, answer.crashes, _BUSY_RETRY_S)
         return answer.verdict is suspect_messages.Verdict.GRANTED
 
@@ -209,7 +209,7 @@
 
 
 def _asker(
-    exchange: base.Exchange, feature: str, implicated: dict[str, suspicion.Standing]
+    exchange: base.Exchange, feature: str, implicated: dict[str, suspicion.SuspectStatus]
 ) -> suspect_messages.Asker:
     """Return who asks for a trial of ``feature``, with the other suspect prompt parts."""
     others = (each for each in implicated if each != feature and fingerprints.is_part(each))
--- a/src/croftpulley/forwarding/take_up.py
+++ b/src/croftpulley/forwarding/take_up.py
@@ -81,7 +81,7 @@
         )
 
     def _log(
-        self, exchange: base.Exchange, outcome: str, found: stream_origins.Found | None
+        self, exchange: base.Exchange, outcome: str, found: stream_origins.FoundOrigin | None
     ) -> None:
         self._counters.taken_up(exchange.pool, outcome)
         origin = found.origin if found is not None else None
--- a/src/croftpulley/http/forward_app.py
+++ b/src/croftpulley/http/forward_app.py
@@ -153,7 +153,7 @@
 
     def _told(self, body: bytes) -> bytes:
         message = json_codec.decode(body, box_messages.OriginAnnouncements)
-        self._known.take(message.streams)
+        self._known.remember_announced(message.streams)
         return json_codec.encode(box_messages.OriginAnnouncementsAck())
 
     def _asked(self, body: bytes) -> bytes:
--- a/src/croftpulley/http/peer_app.py
+++ b/src/croftpulley/http/peer_app.py
@@ -37,7 +37,7 @@
         wsgi.require_method(request, "POST")
         self._counters.control_bytes("Dispatch", 0, len(request.body))
         order = wire.decode_order(request.body)
-        watched = streams.Watched(
+        watched = streams.WatchedRequest(
             cancel.CancelToken(),
             self._clock.monotonic_s() + order.budget_s,
             request.environ.get("waitress.client_disconnected", lambda: False),
@@ -46,7 +46,7 @@
         return wsgi.Response(200, wsgi.EVENT_STREAM, body, close=body.close)
 
     def _body(
-        self, order: messages.DispatchOrder, watched: streams.Watched
+        self, order: messages.DispatchOrder, watched: streams.WatchedRequest
     ) -> Generator[bytes, None, None]:
         self._streams.watch(watched)
         try:
--- a/testing/controllers/test_permits.py
+++ b/testing/controllers/test_permits.py
@@ -164,7 +164,7 @@
 
 
 def test_brittle_endpoints_have_no_queue(box):
-    box.counts.hear_brittle(endpoint(), 3)
+    box.counts.note_rejection_limit(endpoint(), 3)
     box.update_state()
     assert len(box.take_permits(SLOTS)) == SLOTS
     with pytest.raises(permits.NoPermitError):
--- a/testing/controllers/test_reach.py
+++ b/testing/controllers/test_reach.py
@@ -142,9 +142,9 @@
     attempt = attempts.Attempt(1, "w1", attempts.Phase.SENT, is_end_ambiguous=True)
     suspected.end(listed[0], request, attempt, crash_candidates.Ending.BROKE)
     links.cut = cut_links.Cut.REFUSED
-    suspicion_reports.look(suspected, listed[0], listed, 0.1, links)
-    assert suspected.standing("a-fingerprint").crashes == 0
+    suspicion_reports.probe(suspected, listed[0], listed, 0.1, links)
+    assert suspected.status("a-fingerprint").crashes == 0
     links.answers = {listed[5].address}
-    suspicion_reports.look(suspected, listed[0], listed, 0.1, links)
-    assert suspected.standing("a-fingerprint").crashes == 1
+    suspicion_reports.probe(suspected, listed[0], listed, 0.1, links)
+    assert suspected.status("a-fingerprint").crashes == 1
     links.stop()
--- a/testing/controllers/test_retry_sharing.py
+++ b/testing/controllers/test_retry_sharing.py
@@ -120,7 +120,7 @@
 
     def spend(self):
         """Send every repeat that the budget grants; each may be sent and arrive late."""
-        while (decision := self.counts.take_repeat(POOL)).is_granted:
+        while (decision := self.counts.acquire_repeat(POOL)).is_granted:
             repeat = decision.repeat
             connecting_s = self.fleet.rng.uniform(0, CONNECT_S)
             self.fleet.after(connecting_s, lambda one=repeat: self.schedule_send(one))
@@ -129,7 +129,7 @@
         self.when_running(lambda: self.send(repeat))
 
     def send(self, repeat):
-        self.counts.repeat_leaves(repeat)
+        self.counts.mark_repeat_sent(repeat)
         late_s = self.fleet.rng.choice((0.0, ARRIVAL_S)) * self.fleet.rng.random()
         self.fleet.repeats_s.append(self.fleet.now_s + late_s)
 
@@ -296,7 +296,7 @@
 
     def make(controller, *arguments):
         made(controller, *arguments)
-        controller._kept_s = 0.0
+        controller._retention_s = 0.0
 
     answered = sessions.SessionController._answer
 
--- a/testing/controllers/test_stopped_controllers.py
+++ b/testing/controllers/test_stopped_controllers.py
@@ -42,8 +42,8 @@
     attempt = attempts.Attempt(1, "e")
     suspicions.begin(ENDPOINT, REQUEST, attempt)
     suspicions.end(ENDPOINT, REQUEST, attempt, crash_candidates.Ending.GIVEN_UP)
-    suspicions.looked(ENDPOINT, listens=False)
-    assert {each.fingerprint for each in suspicions.news().crashes} == {"f", "part-a"}
+    suspicions.note_probe(ENDPOINT, listens=False)
+    assert {each.fingerprint for each in suspicions.pending_report().crashes} == {"f", "part-a"}
 
 
 def test_command_proposed_after_the_stop_fails_as_not_run():
--- a/testing/controllers/test_stream_origins.py
+++ b/testing/controllers/test_stream_origins.py
@@ -38,32 +38,32 @@
 @pytest.fixture
 def known(view, clock):
     made = stream_origins.StreamOrigins("box-0", view, metrics.Metrics(), clock)
-    made.keep([ENDPOINT])
+    made.update_listed([ENDPOINT])
     return made
 
 
 def test_a_stream_of_a_new_version_is_refused_if_no_other_box_takes_the_announcement(known):
     with pytest.raises(errors.CroftpulleyError) as caught:
-        known.begun(ANNOUNCEMENT, always_told=False)
+        known.remember_begun(ANNOUNCEMENT, always_announced=False)
     assert caught.value.code is codes.ResultCode.ORIGIN_UNTOLD
 
 
 def test_a_stream_of_a_new_version_begins_if_there_is_no_other_box(known, view):
     view.publish(attrs.evolve(view.get(), boxes=NOBODY_LISTENS[:1]))
-    known.begun(ANNOUNCEMENT, always_told=False)
+    known.remember_begun(ANNOUNCEMENT, always_announced=False)
     assert known.remembered(ANNOUNCEMENT.stream) is not None
 
 
 def test_a_stream_of_a_version_that_all_boxes_know_waits_for_no_box(known, view, clock):
     clock.advance(stream_origins.NEW_VERSION_S)
     view.publish(attrs.evolve(view.get(), heard_at_s=clock.monotonic_s()))
-    known.begun(ANNOUNCEMENT, always_told=False)
+    known.remember_begun(ANNOUNCEMENT, always_announced=False)
     assert [each.stream for each in known.take_unannounced(frozenset())] == [ANNOUNCEMENT.stream]
 
 
 def test_a_stream_of_a_settled_pool_is_announced_once_its_pool_is_mixed(known, view):
     view.publish(attrs.evolve(view.get(), mixed=frozenset()))
-    known.begun(ANNOUNCEMENT, always_told=False)
+    known.remember_begun(ANNOUNCEMENT, always_announced=False)
     assert known.take_unannounced(frozenset()) == []
     view.publish(attrs.evolve(view.get(), mixed=frozenset({"llm"})))
     assert [each.stream for each in known.take_unannounced(frozenset())] == [ANNOUNCEMENT.stream]
@@ -71,7 +71,7 @@
 
 def test_streams_of_split_pools_are_always_announced(known, view):
     view.publish(attrs.evolve(view.get(), mixed=frozenset()))
-    known.begun(ANNOUNCEMENT, always_told=True)
+    known.remember_begun(ANNOUNCEMENT, always_announced=True)
     assert [each.stream for each in known.take_unannounced(frozenset({"llm"}))] == [
         ANNOUNCEMENT.stream
     ]
--- a/testing/controllers/test_suspect_register.py
+++ b/testing/controllers/test_suspect_register.py
@@ -71,11 +71,11 @@
     attempt = attempts.Attempt(1, "e")
     known.begin(endpoint, request, attempt)
     known.end(endpoint, request, attempt, crash_candidates.Ending.GIVEN_UP)
-    known.looked(endpoint, listens=False)
+    known.note_probe(endpoint, listens=False)
     summary = suspect_messages.SuspectSummary("part-a", 1, pools=("llm",))
-    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
-    known.reported(known.news())
-    assert known.standing("part-a").crashes == 1
+    known.apply_update(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
+    known.mark_reported(known.pending_report())
+    assert known.status("part-a").crashes == 1
 
 
 def report_of(*incarnations):
@@ -123,16 +123,16 @@
 def test_a_router_delays_its_next_trial_request():
     clock = clocks.ManualClock()
     known = suspicion.Suspicion(clock, metrics.Metrics())
-    known.put_off("f")
-    assert known.standing("f").put_off_for_s == suspicion.TRIAL_RETRY_DELAY_S
+    known.delay_trials("f")
+    assert known.status("f").trial_delay_s == suspicion.TRIAL_RETRY_DELAY_S
     clock.advance(suspicion.TRIAL_RETRY_DELAY_S)
-    assert known.standing("f").put_off_for_s == 0.0
+    assert known.status("f").trial_delay_s == 0.0
 
 
 def test_the_reports_pending_while_no_control_box_leads_are_bounded():
     known = suspicion.Suspicion(clocks.ManualClock(), metrics.Metrics())
     for number in range(suspicion.MAX_PENDING + 10):
         known.trial_ended(suspect_messages.TrialEnd("f", f"t{number}"))
-    waiting = known.news().trial_ends
+    waiting = known.pending_report().trial_ends
     assert len(waiting) == suspicion.MAX_PENDING
     assert waiting[0].trial == "t10"
--- a/testing/controllers/test_traffic.py
+++ b/testing/controllers/test_traffic.py
@@ -32,32 +32,32 @@
 def test_an_endpoint_without_tokens_to_prefill_leaves_no_entry(made):
     # Each start of an endpoint has a new name, and each renewal carries all entries.
     made.enter("worker-1")
-    made.begin_reading(calls.CallFacts(request_id="r"), "worker-1", 0)
+    made.begin_prefill(calls.CallFacts(request_id="r"), "worker-1", 0)
     made.leave("worker-1")
     assert made.load() == listed_counts.EndpointLoads()
 
 
 def test_undelivered_notes_are_in_the_next_report(made):
-    made.begin_reading(call_facts("p"), "e", 0)
+    made.begin_prefill(call_facts("p"), "e", 0)
     taken = made.take_notes()
-    made.begin_reading(call_facts("q"), "e", 0)
-    made.give_back_notes(taken)
+    made.begin_prefill(call_facts("q"), "e", 0)
+    made.requeue_notes(taken)
     assert made.take_notes() == {"e": ("p", "q")}
     assert made.take_notes() == {}
 
 
 def test_all_records_of_an_endpoint_end_with_its_incarnation(made):
     before, after = incarnation(1), incarnation(2)
-    made.keep([before])
+    made.update_listed([before])
     made.enter(before.key)
-    made.begin_reading(call_facts("p"), before.key, 500)
+    made.begin_prefill(call_facts("p"), before.key, 500)
     made.failed(before.key)
-    made.keep([after])
+    made.update_listed([after])
     # Events of the old incarnation that arrive late.
     made.leave(before.key)
-    made.end_reading(before.key, 500)
+    made.end_prefill(before.key, 500)
     made.failed(before.key)
-    made.learn_notes({before.key: ("p",)})
+    made.apply_notes({before.key: ("p",)})
     assert made.load() == listed_counts.EndpointLoads()
     assert made.take_notes() == {}
     assert made.take_outcomes() == {}
@@ -126,7 +126,7 @@
         made.enter("e")
     # Requests in flight together are rejected together: these rejections count once.
     for _ in range(3):
-        made.hear("e", withdrawal.Notice(rest_s=1.0))
+        made.apply_notice("e", withdrawal.Notice(rest_s=1.0))
         made.leave("e")
     clock.advance(1.0)
     assert is_full(made)
--- a/testing/daemons/test_brittle_endpoints.py
+++ b/testing/daemons/test_brittle_endpoints.py
@@ -88,15 +88,15 @@
             each._loop.call_soon_threadsafe(each.crash)
         assert {each.result().status for each in under_way} <= {502, 503, 504}
     for router in site.routers:
-        assert router._suspicion.news().crashes == ()
-        assert not router._suspicion._heard
+        assert router._suspicion.pending_report().crashes == ()
+        assert not router._suspicion._published
 
 
 def test_once_they_say_so_no_more_boxes_send_as_before(site):
     for _ in range(40):
         send(site)
     router = site.routers[0]
-    assert router._traffic.bounds_room("desk")
+    assert router._traffic.needs_permit("desk")
     for each in site.workers:
         each.brittle = None
-    wait_until(lambda: send(site) and not router._traffic.bounds_room("desk"), "none is brittle")
+    wait_until(lambda: send(site) and not router._traffic.needs_permit("desk"), "none is brittle")
--- a/testing/daemons/test_crashing_parts.py
+++ b/testing/daemons/test_crashing_parts.py
@@ -114,16 +114,16 @@
 def crash_standings(router):
     """Return what a router knows of parts under which two endpoints or more ended."""
     return {
-        name: each.told.crashes
-        for name, each in router._suspicion._heard.items()
-        if each.told.crashes >= suspect_messages.SUSPECTED_CRASHES
+        name: each.summary.crashes
+        for name, each in router._suspicion._published.items()
+        if each.summary.crashes >= suspect_messages.SUSPECTED_CRASHES
     }
 
 
 def standings(site):
     """Return what speaks against the part at each router."""
     name = fingerprints.part_feature(DEAD)
-    return [router._suspicion.standing(name) for router in site.routers]
+    return [router._suspicion.status(name) for router in site.routers]
 
 
 def refuse(site):
--- a/testing/daemons/test_crashing_requests.py
+++ b/testing/daemons/test_crashing_requests.py
@@ -85,7 +85,7 @@
 
 def suspected(router):
     """Return the requests that a router knows as suspects."""
-    return set(router._suspicion._heard)
+    return set(router._suspicion._published)
 
 
 def most_sends(site):
--- a/testing/daemons/test_rests.py
+++ b/testing/daemons/test_rests.py
@@ -147,7 +147,9 @@
     router = site.routers[0]
     worker, other = site.workers
     notice = withdrawal.Notice(rest_s=REST_S)
-    on_connecting(monkeypatch, worker.address, lambda: router._traffic.hear("worker-0", notice))
+    on_connecting(
+        monkeypatch, worker.address, lambda: router._traffic.apply_notice("worker-0", notice)
+    )
     answers = send_until(site, lambda: router._traffic.is_withdrawn("worker-0"))
     arrived = {router_of(each.request_id) for each in worker.arrivals}
     answers += [send(site, router) for _ in range(10)]
--- a/testing/daemons/test_shared_room.py
+++ b/testing/daemons/test_shared_room.py
@@ -188,7 +188,7 @@
     engine.most_at_once = 100
     engine.load = "0,0,4,100"
     record = site.routers[0]._traffic._records.get(engine.incarnation)
-    assert record is None or record.trust.is_blank
+    assert record is None or record.backoff.is_blank
 
 
 def test_what_an_endpoint_tells_that_cannot_be_read_changes_nothing(start):
--- a/testing/daemons/test_versions.py
+++ b/testing/daemons/test_versions.py
@@ -233,7 +233,7 @@
 def test_a_pool_of_one_version_needs_no_box_told(plain_site):
     for n in range(STREAMS):
         begin(plain_site, plain_site.routers[n % 3])
-    assert [list(router._origins.all_told()) for router in plain_site.routers] == [[], [], []]
+    assert [list(router._origins.all_announced()) for router in plain_site.routers] == [[], [], []]
 
 
 def test_in_a_pool_of_one_version_a_stream_that_nobody_remembers_is_taken_up(plain_site):
@@ -253,7 +253,7 @@
     plain_site.engines.append(newer)
     plain_site.list_endpoints()
     wait_until_known(plain_site)
-    wait_until(lambda: not plain_site.routers[0]._origins._origins._untold, "others are told")
+    wait_until(lambda: not plain_site.routers[0]._origins._origins._unannounced, "others are told")
     plain_site.routers[0].stop()
     for n, each in enumerate(streams):
         take_up(plain_site, plain_site.routers[1 + n % 2], each)
@@ -344,6 +344,8 @@
     """Return by how many routers each of the streams is remembered, at least."""
     ids = {each.first_id for each in streams}
     found = [
-        told.stream.request_id for router in site.routers for told in router._origins.all_told()
+        told.stream.request_id
+        for router in site.routers
+        for told in router._origins.all_announced()
     ]
     return min(found.count(each) for each in ids)
--- a/testing/forwarding/test_cold_departures.py
+++ b/testing/forwarding/test_cold_departures.py
@@ -26,7 +26,7 @@
 
 
 def test_a_request_that_times_out_before_it_is_sent_frees_its_quota(counts, clock):
-    departure = counts.take_cold("e", 1)
+    departure = counts.reserve_cold_send("e", 1)
     placed = place.PlacementDecision(endpoint=ENDPOINT, send_record=departure)
     request = base.ForwardRequest(method="GET", target="/", headers={}, body=b"", arrived_s=0.0)
     exchange = base.Exchange(
--- a/testing/forwarding/test_departures.py
+++ b/testing/forwarding/test_departures.py
@@ -86,7 +86,7 @@
 
 
 def test_no_request_is_sent_until_a_rest_that_began_meanwhile_is_over(send, counts, clock):
-    counts.hear("e", withdrawal.Notice(rest_s=3.0))
+    counts.apply_notice("e", withdrawal.Notice(rest_s=3.0))
     clock.advance(2.9)
     assert block_reason(send) is service.BlockReason.WITHDRAWN
     clock.advance(0.1)
@@ -94,7 +94,7 @@
 
 
 def test_no_request_is_sent_to_an_endpoint_that_announced_its_shutdown(send, counts):
-    counts.hear("e", withdrawal.Notice(leaves=True))
+    counts.apply_notice("e", withdrawal.Notice(leaves=True))
     assert block_reason(send) is service.BlockReason.WITHDRAWN
 
 
@@ -116,21 +116,21 @@
 ):
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
     assert block_reason(send) is service.BlockReason.COLD
-    send(attrs.evolve(PLACED, send_record=counts.take_cold("e", COLD_PER_S)))
+    send(attrs.evolve(PLACED, send_record=counts.reserve_cold_send("e", COLD_PER_S)))
 
 
 def test_a_request_to_a_cold_endpoint_is_held_back_once_its_quota_has_expired(
     send, view, counts, clock
 ):
     change_state(view, cold={"e": COLD_PER_S}, cold_at_s=clock.monotonic_s())
-    placed = attrs.evolve(PLACED, send_record=counts.take_cold("e", COLD_PER_S))
+    placed = attrs.evolve(PLACED, send_record=counts.reserve_cold_send("e", COLD_PER_S))
     clock.advance(send_quotas.QUOTA_TTL_S)
     assert block_reason(send, placed) is service.BlockReason.COLD
 
 
 def test_a_repeat_that_is_held_back_does_not_count_as_sent(send, counts, clock):
     repeat = retry_budget.Repeat(at_s=1.0)
-    counts.hear("e", withdrawal.Notice(rest_s=3.0))
+    counts.apply_notice("e", withdrawal.Notice(rest_s=3.0))
     with pytest.raises(departures.HeldBackError):
         send(repeat=repeat)
     assert repeat.at_s == 1.0
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -67,16 +67,16 @@
 def test_the_refusal_of_a_suspect_expires_in_a_suspension(suspend, clock):
     known = suspicion.Suspicion(clock, metrics.Metrics())
     summary = suspect_messages.SuspectSummary("f", 3, refused_for_s=SUSPENDED_S)
-    known.learn(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
-    assert known.standing("f").refused_for_s == pytest.approx(SUSPENDED_S)
+    known.apply_update(suspect_messages.SuspectsUpdate(revision=1, suspects=(summary,)))
+    assert known.status("f").refused_for_s == pytest.approx(SUSPENDED_S)
     suspend()
-    assert known.standing("f").refused_for_s == 0.0
+    assert known.status("f").refused_for_s == 0.0
 
 
 def test_a_deadline_passes_in_a_suspension(suspend, clock):
     watched_streams = streams.Streams(1, clock, metrics.Metrics())
     token = cancel.CancelToken()
-    watched_streams.watch(streams.Watched(token, clock.monotonic_s() + 5.0, lambda: False))
+    watched_streams.watch(streams.WatchedRequest(token, clock.monotonic_s() + 5.0, lambda: False))
     watched_streams.sweep()
     assert token.reason is None
     suspend()
