--- a/src/croftpulley/controllers/sessions.py
+++ b/src/croftpulley/controllers/sessions.py
@@ -287,7 +287,7 @@
                 report.box.name, self._clock.monotonic_s()
             ),
             mixed=self._mixed(listed),
-            suspects=state.suspects.bulletin.changes_since(
+            suspects=state.suspects.published.changes_since(
                 report.suspects_revision, self._clock.wall_s()
             ),
             evacuated=state.evacuated.if_changed(report.halls_revision),
--- a/src/croftpulley/controllers/suspect_register.py
+++ b/src/croftpulley/controllers/suspect_register.py
@@ -94,7 +94,7 @@
             )
 
     def _published(self) -> published_suspects.PublishedSuspects:
-        return self._command_log.read().suspects.bulletin
+        return self._command_log.read().suspects.published
 
     def _leads(self) -> bool:
         return self._replica_status.get().has_authority(self._clock.monotonic_s())
--- a/src/croftpulley/core/membership.py
+++ b/src/croftpulley/core/membership.py
@@ -37,11 +37,11 @@
       name and incarnation.
     - ``slots`` is how many requests it runs concurrently, 0 if the list does not say.
     - ``version`` is the version of its software, empty if the list does not say.
-    - ``key`` identifies one run of the endpoint, from start to end, by whatever the list
-      distinguishes runs with. All state about an endpoint is stored under its key and ends with
-      that run.
+    - ``key`` identifies one incarnation of the endpoint, from start to end, by whatever the list
+      distinguishes them with. All state about an endpoint is stored under its key and ends with
+      that incarnation.
 
-    ``leaving`` is sticky: it is never reset within one run.
+    ``leaving`` is sticky: it is never reset within one incarnation.
     """
 
     name: str
@@ -122,7 +122,7 @@
 
 
 def carry_over_leaving_flag(known: Endpoint | None, listed: Endpoint) -> Endpoint:
-    """Return ``listed``, marked as leaving if ``known`` is the same run and was leaving."""
+    """Return ``listed``, marked as leaving if ``known`` is the same incarnation and was leaving."""
     if known is not None and known.key == listed.key and known.leaving:
         return attrs.evolve(listed, leaving=True)
     return listed
--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -56,7 +56,7 @@
     TrialAnswer(verdict=<Verdict.REFUSED: 'refused'>, crashes=4, wait_s=3593.0)
     """
 
-    bulletin: published_suspects.PublishedSuspects = attrs.field(
+    published: published_suspects.PublishedSuspects = attrs.field(
         factory=published_suspects.PublishedSuspects
     )
     _by_fingerprint: dict[str, suspect_rules.Suspect] = attrs.field(factory=dict)
@@ -91,7 +91,7 @@
 
     def known(self, names: tuple[str, ...]) -> tuple[str, ...]:
         """Return ``names`` without the prompt parts that no crash is known for; thread-safe."""
-        published = {each.suspect.fingerprint for each in self.bulletin.entries}
+        published = {each.suspect.fingerprint for each in self.published.entries}
         return tuple(each for each in names if each in published or not fingerprints.is_part(each))
 
     def report(
@@ -146,9 +146,9 @@
     ) -> suspect_messages.TrialAnswer:
         """Return what `begin_trial` would, without any change; thread-safe.
 
-        Reads the bulletin: an entry that is being replaced is missing from the dict for a moment.
+        Reads `published`: an entry that is being replaced is missing from the dict for a moment.
         """
-        known = self.bulletin.find(fingerprint)
+        known = self.published.find(fingerprint)
         if known is None or not known.is_suspect:
             return suspect_messages.TrialAnswer(suspect_messages.Verdict.FREE)
         if known.trial == trial:
@@ -229,9 +229,9 @@
         return evicted
 
     def _publish(self) -> None:
-        """Replace the bulletin if anything in it changed."""
-        if self.bulletin.revision != self._revision or not self.bulletin.entries:
-            self.bulletin = published_suspects.PublishedSuspects(
+        """Replace the published suspects if anything in them changed."""
+        if self.published.revision != self._revision or not self.published.entries:
+            self.published = published_suspects.PublishedSuspects(
                 self._revision,
                 self._from_revision,
                 tuple(self._published.values()),
--- a/testing/core/test_suspects.py
+++ b/testing/core/test_suspects.py
@@ -64,7 +64,7 @@
 
 def update_for(state, revision=0, at_s=0.0):
     """Return the update that a router at ``revision`` receives."""
-    return state.suspects.bulletin.changes_since(revision, at_s)
+    return state.suspects.published.changes_since(revision, at_s)
 
 
 def test_one_crash_makes_no_suspect_and_is_not_published(state):
