--- a/src/croftpulley/core/suspects.py
+++ b/src/croftpulley/core/suspects.py
@@ -60,7 +60,7 @@
         factory=published_suspects.PublishedSuspects
     )
     _by_fingerprint: dict[str, suspect_rules.Suspect] = attrs.field(factory=dict)
-    _published: dict[str, published_suspects.PublishedSuspect] = attrs.field(factory=dict)
+    _published_entries: dict[str, published_suspects.PublishedSuspect] = attrs.field(factory=dict)
     _removals: collections.deque[published_suspects.RemovedSuspect] = attrs.field(
         factory=collections.deque
     )
@@ -74,7 +74,7 @@
         for each in suspects:
             made._by_fingerprint[each.fingerprint] = each
             if each.is_published:
-                made._published[each.fingerprint] = published_suspects.PublishedSuspect(
+                made._published_entries[each.fingerprint] = published_suspects.PublishedSuspect(
                     revision, each
                 )
         made._publish()
@@ -185,13 +185,15 @@
         self._by_fingerprint[name] = suspect
         if suspect.is_published:
             self._revision += 1
-            self._published.pop(name, None)
-            self._published[name] = published_suspects.PublishedSuspect(self._revision, suspect)
+            self._published_entries.pop(name, None)
+            self._published_entries[name] = published_suspects.PublishedSuspect(
+                self._revision, suspect
+            )
 
     def _remove(self, fingerprint: str) -> None:
         """Remove a feature, and record the removal if routers know of it."""
         self._by_fingerprint.pop(fingerprint, None)
-        if self._published.pop(fingerprint, None) is None:
+        if self._published_entries.pop(fingerprint, None) is None:
             return
         self._revision += 1
         self._removals.append(published_suspects.RemovedSuspect(self._revision, fingerprint))
@@ -234,6 +236,6 @@
             self.published = published_suspects.PublishedSuspects(
                 self._revision,
                 self._from_revision,
-                tuple(self._published.values()),
+                tuple(self._published_entries.values()),
                 tuple(self._removals),
             )
--- a/testing/controllers/test_control_plane.py
+++ b/testing/controllers/test_control_plane.py
@@ -111,7 +111,7 @@
     After a failed disk write a box replays its log and may become leader again meanwhile. When
     authority was checked only after the read, a call that had timed out waiting for authority, or
     that began in an earlier term, returned the partly rebuilt state if the box became leader before
-    the check. Found in review, not observed in operation.
+    the check.
     """
     monkeypatch.setattr(control_plane, "AUTHORITY_WAIT_S", 0.0)
     fake_log.on_read = lambda: view.publish(LEADER)
--- a/testing/controllers/test_replica_sight.py
+++ b/testing/controllers/test_replica_sight.py
@@ -113,8 +113,7 @@
 
     All entries of a batch count as taken before the first is applied, so an exception in one used
     to drop the others for good. Batches differ between control boxes, and a restarted one has all
-    entries in one batch, so the states would have diverged. Found in review, not observed in
-    operation.
+    entries in one batch, so the states would have diverged.
     """
     apply = replicated_state.ReplicatedState.apply
 
@@ -159,7 +158,7 @@
     The box then reloads its log and applies it from the beginning. The state was reset if the log
     had a snapshot, but before the first one (128 entries) all entries were applied on top of the
     old state. Counters such as owner epochs and the trials of a suspect then differed between
-    boxes: the epoch was 3 after two grants. Found in review, not observed in operation.
+    boxes: the epoch was 3 after two grants.
     """
     open_file, fail_next_writes = failing_disk
     _, view, log = start(open_file=open_file)
@@ -198,7 +197,7 @@
     """Guards against failing proposals before the loss of authority is published.
 
     A proposer then still saw a box with authority for a moment; the test above could have mistaken
-    that for the regained one. Found in review, not observed in operation.
+    that for the regained one.
     """
     open_file, fail_next_writes = failing_disk
     _, view, log = start(open_file=open_file)
