--- a/src/croftpulley/core/suspect_messages.py
+++ b/src/croftpulley/core/suspect_messages.py
@@ -84,7 +84,8 @@
 class SuspectSummary:
     """What a router needs to know of one suspect; times are relative to when it is sent.
 
-    The fields from ``pools`` on are sent for prompt parts only, as `Suspect` describes them.
+    The fields from ``pools`` on are sent for prompt parts only, as `suspect_rules.Suspect`
+    describes them.
     ``has_own_trial`` tells whether unaccused askers have a trial left.
     """
 
--- a/src/croftpulley/forwarding/attempt.py
+++ b/src/croftpulley/forwarding/attempt.py
@@ -32,7 +32,7 @@
     """An attempt whose response has begun; it counts as in flight until it is closed.
 
     ``on_close`` is called once, when it is closed, and ``on_event`` for each event of a stream.
-    ``reading_tokens`` are those that count as the engine's prefill until the first event.
+    ``prefill_tokens`` are those that count as the engine's prefill until the first event.
     """
 
     endpoint: membership.Endpoint
--- a/src/croftpulley/forwarding/hops.py
+++ b/src/croftpulley/forwarding/hops.py
@@ -53,7 +53,7 @@
 
 
 def parse_hop(header_values: Mapping[str, str]) -> base.Hop:
-    """Parse the headers of a hop; ``given`` has names in lower case. Invalid versions read as 0."""
+    """Parse the headers of a hop, whose names are in lower case. Invalid versions read as 0."""
     version = header_values.get(CONFIGURATION_HEADER, "")
     return base.Hop(
         box=header_values.get(BOX_HEADER, "")[:100],
--- a/src/croftpulley/settings/loader.py
+++ b/src/croftpulley/settings/loader.py
@@ -17,7 +17,7 @@
 
 
 def _strict_hook(kind: type, *also_accepted: type) -> Any:
-    """Return a hook that accepts values of ``kind`` or ``also``, without other conversions."""
+    """Return a hook that accepts ``kind`` or ``also_accepted``, without other conversions."""
 
     def hook(value: Any, _type: Any) -> Any:
         wrong_bool = isinstance(value, bool) and kind is not bool
--- a/src/croftpulley/storage/commands.py
+++ b/src/croftpulley/storage/commands.py
@@ -1,6 +1,6 @@
 """Encodes state machine commands as log records: JSON objects tagged with the command's name.
 
-Long records are compressed (`packed_text`).
+Long records are compressed (`text_compression`).
 """
 
 from __future__ import annotations
--- a/src/croftpulley/storage/state_codec.py
+++ b/src/croftpulley/storage/state_codec.py
@@ -1,4 +1,4 @@
-"""Encodes the state machine for snapshots: JSON, compressed if it is long (`packed_text`)."""
+"""Encodes the state machine for snapshots: JSON, compressed if it is long (`text_compression`)."""
 
 from __future__ import annotations
 
